--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -13,9 +13,9 @@
 import org.dotterelcourse.policy.estimate.FixedOutputEstimator;
 import org.dotterelcourse.policy.estimate.LearnedOutputEstimator;
 import org.dotterelcourse.policy.estimate.OutputEstimator;
-import org.dotterelcourse.policy.placement.Candidate;
 import org.dotterelcourse.policy.placement.CellPlacement;
 import org.dotterelcourse.policy.placement.Placement;
+import org.dotterelcourse.policy.placement.PlacementRequest;
 import org.dotterelcourse.policy.placement.Running;
 import org.dotterelcourse.policy.preemption.Preemption;
 import org.dotterelcourse.policy.preemption.ResumablePreemption;
@@ -187,7 +187,7 @@
      * granted; they are passed over without a search, since a queue of long jobs has many heads.
      */
     private Optional<String> place(Waiting waiting, long nowNanos) {
-        Candidate candidate = candidate(waiting);
+        PlacementRequest candidate = candidate(waiting);
         if (candidate.isLong() && noRoomForLong) {
             return Optional.empty();
         }
@@ -298,10 +298,10 @@
         return new Waiting(ask, prefillWork(ask) + output, output, admission.startByNanos(ask), lastSequence);
     }
 
-    private Candidate candidate(Waiting waiting) {
+    private PlacementRequest candidate(Waiting waiting) {
         Ask ask = waiting.ask();
         double whole = ask.resumedTokens() + waiting.expectedOutput();
-        return new Candidate(ask, prefillWork(ask), waiting.expectedOutput(), isLong(whole));
+        return new PlacementRequest(ask, prefillWork(ask), waiting.expectedOutput(), isLong(whole));
     }
 
     private double prefillWork(Ask ask) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public Optional<String> place(Candidate candidate, long nowNanos) {
+    public Optional<String> place(PlacementRequest candidate, long nowNanos) {
         List<Worker> free = new ArrayList<>(workers.size());
         Worker best = null;
         double bestFinish = Double.POSITIVE_INFINITY;
@@ -210,7 +210,7 @@
         return worker;
     }
 
-    private Worker home(Candidate candidate, List<Worker> free, double bestFinish, long nowNanos) {
+    private Worker home(PlacementRequest candidate, List<Worker> free, double bestFinish, long nowNanos) {
         double most = bestFinish * (1 + settings.affinitySlack());
         Worker home = null;
         long highest = 0;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -42,7 +42,7 @@
      * @param nowNanos the time
      * @return the worker's name, or empty if none has room for it
      */
-    Optional<String> place(Candidate candidate, long nowNanos);
+    Optional<String> place(PlacementRequest candidate, long nowNanos);
 
     /**
      * A request was granted a worker.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Candidate.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/PlacementRequest.java
@@ -10,4 +10,4 @@
  * @param expectedOutput tokens that its answer is expected to have
  * @param isLong whether it counts against the room for long requests
  */
-public record Candidate(Ask ask, double prefillWork, double expectedOutput, boolean isLong) {}
+public record PlacementRequest(Ask ask, double prefillWork, double expectedOutput, boolean isLong) {}
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Running.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Running.java
@@ -5,7 +5,7 @@
 /** A granted request and what has been seen of it. */
 public final class Running {
     private final long grant;
-    private final Candidate candidate;
+    private final PlacementRequest candidate;
     private final String worker;
     private final boolean owed;
     private final long sinceNanos;
@@ -23,7 +23,7 @@
      * @param owed whether it was served because of its class's minimum share
      * @param nowNanos the time
      */
-    public Running(long grant, Candidate candidate, String worker, boolean owed, long nowNanos) {
+    public Running(long grant, PlacementRequest candidate, String worker, boolean owed, long nowNanos) {
         this.grant = grant;
         this.candidate = candidate;
         this.worker = worker;
@@ -57,7 +57,7 @@
      *
      * @return the candidate
      */
-    public Candidate candidate() {
+    public PlacementRequest candidate() {
         return candidate;
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -95,7 +95,7 @@
         return nowNanos >= fullUntilNanos && grants.size() + foreign(nowNanos) < slots(nowNanos);
     }
 
-    boolean hasRoomFor(Candidate candidate, long nowNanos) {
+    boolean hasRoomFor(PlacementRequest candidate, long nowNanos) {
         if (!hasRoom(nowNanos) || isExcludedFor(candidate.ask())) {
             return false;
         }
@@ -113,7 +113,7 @@
     }
 
     /** A rough expected time to finish, in steps of an empty worker. */
-    double expectedFinish(Candidate candidate, long nowNanos) {
+    double expectedFinish(PlacementRequest candidate, long nowNanos) {
         double load = (double) (grants.size() + foreign(nowNanos)) / Math.max(1, info.concurrency());
         double decode = candidate.expectedOutput() * (1 + settings.batchSlowdown() * load);
         double slow = settings.uses(Mechanism.STRAGGLER_WEIGHT) ? health.slowFactor() : 1;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -75,10 +75,12 @@
         ClassTerms top = new ClassTerms("teller", 1, 0, 10, true, SECOND, SECOND, 100);
 
         Ask once = new Ask("once", TERMS, "bank", 0, 0, 0, false, 0, Set.of());
-        assertThat(rest).contains(place(new Candidate(once, 0, 1, false), later).worker());
+        assertThat(rest)
+                .contains(place(new PlacementRequest(once, 0, 1, false), later).worker());
         Ask urgent = new Ask("urgent", top, "bank", 0, 0, 0, true, 0, Set.of());
         assertThat(rest)
-                .contains(place(new Candidate(urgent, 0, 1, false), later).worker());
+                .contains(
+                        place(new PlacementRequest(urgent, 0, 1, false), later).worker());
     }
 
     @Test
@@ -148,7 +150,7 @@
     @Test
     void capsTheLongJobsOfAWorker() {
         int placed = 0;
-        Candidate longJob = new Candidate(ask(0, 2), 0, 1_000, true);
+        PlacementRequest longJob = new PlacementRequest(ask(0, 2), 0, 1_000, true);
         while (placement.place(longJob, 0).isPresent()) {
             place(longJob, 0);
             placed++;
@@ -209,23 +211,23 @@
         return names;
     }
 
-    private Running place(Candidate candidate, long nowNanos) {
+    private Running place(PlacementRequest candidate, long nowNanos) {
         return grant(candidate, placement.place(candidate, nowNanos).orElseThrow(), nowNanos);
     }
 
-    private Running grant(Candidate candidate, String worker, long nowNanos) {
+    private Running grant(PlacementRequest candidate, String worker, long nowNanos) {
         return grant(placement, candidate, worker, nowNanos);
     }
 
-    private Running grant(CellPlacement at, Candidate candidate, String worker, long nowNanos) {
+    private Running grant(CellPlacement at, PlacementRequest candidate, String worker, long nowNanos) {
         lastGrant++;
         Running running = new Running(lastGrant, candidate, worker, false, nowNanos);
         at.granted(running, nowNanos);
         return running;
     }
 
-    private static Candidate candidate(long prefix, int tokens) {
-        return new Candidate(ask(prefix, tokens), 0, tokens, false);
+    private static PlacementRequest candidate(long prefix, int tokens) {
+        return new PlacementRequest(ask(prefix, tokens), 0, tokens, false);
     }
 
     private static Ask ask(long prefix, int input) {
