--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -16,7 +16,7 @@
 import org.dotterelcourse.policy.placement.CellPlacement;
 import org.dotterelcourse.policy.placement.Placement;
 import org.dotterelcourse.policy.placement.PlacementRequest;
-import org.dotterelcourse.policy.placement.Running;
+import org.dotterelcourse.policy.placement.RunningRequest;
 import org.dotterelcourse.policy.preemption.Preemption;
 import org.dotterelcourse.policy.preemption.ResumablePreemption;
 import org.dotterelcourse.policy.queue.TieredQueue;
@@ -43,7 +43,7 @@
     private final Admission admission;
     private final Placement placement;
     private final Preemption preemption;
-    private final Map<Long, Running> running = new HashMap<>();
+    private final Map<Long, RunningRequest> running = new HashMap<>();
     private final Map<Long, Double> charges = new HashMap<>();
     private final Set<String> runningIds = new HashSet<>();
     private long lastGrant;
@@ -102,7 +102,7 @@
 
     @Override
     public List<CellEffect> progress(long grant, int outputTokens, long nowNanos) {
-        Running found = running.get(grant);
+        RunningRequest found = running.get(grant);
         if (found == null) {
             return List.of();
         }
@@ -113,7 +113,7 @@
 
     @Override
     public List<CellEffect> release(long grant, Completion completion, long nowNanos) {
-        Running found = running.get(grant);
+        RunningRequest found = running.get(grant);
         if (found == null) {
             return List.of();
         }
@@ -221,11 +221,11 @@
             return;
         }
         searchedNanos = nowNanos;
-        Optional<Running> victim = preemption.victim(urgent.ask(), running.values());
+        Optional<RunningRequest> victim = preemption.victim(urgent.ask(), running.values());
         if (victim.isEmpty()) {
             return;
         }
-        Running stopped = victim.get();
+        RunningRequest stopped = victim.get();
         effects.add(new CellEffect.Preempted(stopped.ask().id(), stopped.grant()));
         int tokens = stopped.tokens() - stopped.ask().resumedTokens();
         end(stopped, new Completion(Completion.End.CANCELLED, -1, nowNanos - stopped.sinceNanos(), tokens), nowNanos);
@@ -259,7 +259,7 @@
 
     private CellEffect grant(Waiting waiting, String worker, boolean owed, long nowNanos) {
         lastGrant++;
-        Running granted = new Running(lastGrant, candidate(waiting), worker, owed, nowNanos);
+        RunningRequest granted = new RunningRequest(lastGrant, candidate(waiting), worker, owed, nowNanos);
         running.put(lastGrant, granted);
         charges.put(lastGrant, waiting.work());
         runningIds.add(waiting.ask().id());
@@ -267,7 +267,7 @@
         return new CellEffect.Granted(waiting.ask().id(), lastGrant, worker);
     }
 
-    private void end(Running ended, Completion completion, long nowNanos) {
+    private void end(RunningRequest ended, Completion completion, long nowNanos) {
         running.remove(ended.grant());
         runningIds.remove(ended.ask().id());
         double charged = charges.remove(ended.grant());
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -107,13 +107,13 @@
     }
 
     @Override
-    public void granted(Running running, long nowNanos) {
+    public void granted(RunningRequest running, long nowNanos) {
         workers.computeIfAbsent(running.worker(), name -> unlisted(name, nowNanos))
                 .granted(running, nowNanos);
     }
 
     @Override
-    public void progress(Running running, int tokens, boolean becomesLong, long nowNanos) {
+    public void progress(RunningRequest running, int tokens, boolean becomesLong, long nowNanos) {
         Worker worker = workers.get(running.worker());
         if (worker != null) {
             worker.progress(running, tokens, becomesLong, TOKENS_PER_SAMPLE, nowNanos);
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public void released(Running running, Completion completion, long nowNanos) {
+    public void released(RunningRequest running, Completion completion, long nowNanos) {
         Worker worker = workers.get(running.worker());
         if (worker == null) {
             return;
@@ -225,7 +225,7 @@
         return home;
     }
 
-    private void learn(Worker worker, Running running, Completion completion, long nowNanos) {
+    private void learn(Worker worker, RunningRequest running, Completion completion, long nowNanos) {
         switch (completion.end()) {
             case ANSWERED -> {
                 worker.heard(nowNanos);
@@ -242,7 +242,7 @@
     }
 
     /** A plain service's answer, or one whose progress nobody told, is one sample as a whole. */
-    private static void sampleWhole(Worker worker, Running running, Completion completion, long nowNanos) {
+    private static void sampleWhole(Worker worker, RunningRequest running, Completion completion, long nowNanos) {
         if (running.started() || completion.durationNanos() <= 0) {
             return;
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -50,7 +50,7 @@
      * @param running the request
      * @param nowNanos the time
      */
-    void granted(Running running, long nowNanos);
+    void granted(RunningRequest running, long nowNanos);
 
     /**
      * A request makes progress.
@@ -60,7 +60,7 @@
      * @param becomesLong whether it counts as long from now on
      * @param nowNanos the time
      */
-    void progress(Running running, int tokens, boolean becomesLong, long nowNanos);
+    void progress(RunningRequest running, int tokens, boolean becomesLong, long nowNanos);
 
     /**
      * A request has left its worker.
@@ -69,7 +69,7 @@
      * @param completion what was seen
      * @param nowNanos the time
      */
-    void released(Running running, Completion completion, long nowNanos);
+    void released(RunningRequest running, Completion completion, long nowNanos);
 
     /**
      * The list of workers was published.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Running.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
@@ -3,7 +3,7 @@
 import org.dotterelcourse.policy.cell.Ask;
 
 /** A granted request and what has been seen of it. */
-public final class Running {
+public final class RunningRequest {
     private final long grant;
     private final PlacementRequest candidate;
     private final String worker;
@@ -23,7 +23,7 @@
      * @param owed whether it was served because of its class's minimum share
      * @param nowNanos the time
      */
-    public Running(long grant, PlacementRequest candidate, String worker, boolean owed, long nowNanos) {
+    public RunningRequest(long grant, PlacementRequest candidate, String worker, boolean owed, long nowNanos) {
         this.grant = grant;
         this.candidate = candidate;
         this.worker = worker;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -19,7 +19,7 @@
     private final CellSettings settings;
     private final WorkerHealth health;
     private final LoadHistory history = new LoadHistory();
-    private final Map<Long, Running> grants = new LinkedHashMap<>();
+    private final Map<Long, RunningRequest> grants = new LinkedHashMap<>();
     private final long nameHash;
     private WorkerInfo info;
     private boolean saysLeaving;
@@ -125,7 +125,7 @@
         return Hashing.komihash5_0().hashLongLongToLong(prefix, nameHash);
     }
 
-    void granted(Running running, long nowNanos) {
+    void granted(RunningRequest running, long nowNanos) {
         history.note(grants.size(), nowNanos);
         if (grants.isEmpty()) {
             heardNanos = nowNanos;
@@ -136,7 +136,7 @@
         longRunning += running.isLong() ? 1 : 0;
     }
 
-    void progress(Running running, int tokens, boolean becomesLong, int tokensPerSample, long nowNanos) {
+    void progress(RunningRequest running, int tokens, boolean becomesLong, int tokensPerSample, long nowNanos) {
         heardNanos = nowNanos;
         if (!running.started() && tokens > running.ask().resumedTokens()) {
             endPrefill(running);
@@ -151,7 +151,7 @@
         }
     }
 
-    void released(Running running, long nowNanos) {
+    void released(RunningRequest running, long nowNanos) {
         if (grants.remove(running.grant()) == null) {
             return;
         }
@@ -212,7 +212,7 @@
         return ask.idempotent() && ask.terms().tier() > ClassTerms.HIGHEST_TIER;
     }
 
-    private void endPrefill(Running running) {
+    private void endPrefill(RunningRequest running) {
         pendingPrefill = Math.max(0, pendingPrefill - running.candidate().prefillWork());
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/Preemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/Preemption.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import org.dotterelcourse.policy.cell.Ask;
-import org.dotterelcourse.policy.placement.Running;
+import org.dotterelcourse.policy.placement.RunningRequest;
 
 /** Chooses a running request to stop for a waiting one. */
 public interface Preemption {
@@ -15,5 +15,5 @@
      * @param running all running requests
      * @return the one that makes way, or empty if none may or none is worth it
      */
-    Optional<Running> victim(Ask urgent, Collection<Running> running);
+    Optional<RunningRequest> victim(Ask urgent, Collection<RunningRequest> running);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
@@ -7,7 +7,7 @@
 import org.dotterelcourse.policy.cell.CellSettings;
 import org.dotterelcourse.policy.estimate.OutputEstimator;
 import org.dotterelcourse.policy.placement.Placement;
-import org.dotterelcourse.policy.placement.Running;
+import org.dotterelcourse.policy.placement.RunningRequest;
 
 /**
  * Stops an idempotent stream of a lower tier that has long to go, to be resumed from its tokens.
@@ -37,10 +37,10 @@
     }
 
     @Override
-    public Optional<Running> victim(Ask urgent, Collection<Running> running) {
-        Running best = null;
+    public Optional<RunningRequest> victim(Ask urgent, Collection<RunningRequest> running) {
+        RunningRequest best = null;
         double bestGain = 0;
-        for (Running candidate : running) {
+        for (RunningRequest candidate : running) {
             if (!mayStop(candidate, urgent)) {
                 continue;
             }
@@ -55,7 +55,7 @@
         return Optional.ofNullable(best);
     }
 
-    private boolean mayStop(Running candidate, Ask urgent) {
+    private boolean mayStop(RunningRequest candidate, Ask urgent) {
         Ask ask = candidate.ask();
         boolean resumable = ask.idempotent() && ask.terms().tokenIntervalNanos() > 0;
         boolean movedOn = ask.resumedTokens() == 0 || candidate.started();
@@ -66,14 +66,14 @@
                 && placement.isUsable(candidate.worker(), urgent);
     }
 
-    private double gain(Running candidate) {
+    private double gain(RunningRequest candidate) {
         Ask ask = candidate.ask();
         double left = estimator.remaining(ask.terms(), ask.customer(), candidate.tokens());
         double again = settings.prefillWeight() * (ask.inputTokens() + candidate.tokens());
         return left - again;
     }
 
-    private static int tier(Running running) {
+    private static int tier(RunningRequest running) {
         return running.ask().terms().tier();
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -38,7 +38,7 @@
     void keepsAPrefixAtOneWorkerUntilThatIsTooBusy() {
         Set<String> light = new HashSet<>();
         for (int i = 0; i < 5; i++) {
-            Running running = place(candidate(7, 2), 0);
+            RunningRequest running = place(candidate(7, 2), 0);
             light.add(running.worker());
             placement.released(running, ANSWERED, 0);
         }
@@ -59,7 +59,7 @@
         long later = 6 * SECOND;
 
         assertThat(rest).hasSize(5);
-        Running probe = place(candidate(0, 2), later);
+        RunningRequest probe = place(candidate(0, 2), later);
         assertThat(rest).doesNotContain(probe.worker());
         assertThat(place(candidate(0, 2), later).worker()).isNotEqualTo(probe.worker());
         placement.released(probe, ANSWERED, later);
@@ -134,12 +134,12 @@
     @Test
     void readsItsOwnPastGrantsInALateReportAsItsOwn() {
         // Reports are five seconds late. Taken for the present, a worker that was full then would stand idle now.
-        List<Running> all = new ArrayList<>();
+        List<RunningRequest> all = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             all.add(place(candidate(0, 2), 0));
         }
         placement.advance(0);
-        for (Running running : all) {
+        for (RunningRequest running : all) {
             placement.released(running, ANSWERED, SECOND);
         }
         placement.report(new WorkerReport("llm-1", 0, 4, 0), 5 * SECOND);
@@ -185,12 +185,12 @@
 
     /** Streams for four seconds on every worker; a pace of 0 is none. */
     private void stream(long paceNanos, long paceOfFirstNanos) {
-        List<Running> all = new ArrayList<>();
+        List<RunningRequest> all = new ArrayList<>();
         for (WorkerInfo worker : workers(4)) {
             all.add(grant(candidate(0, 2), worker.name(), 0));
         }
         for (long now = 0; now <= 4 * SECOND; now += 20 * MILLI) {
-            for (Running running : all) {
+            for (RunningRequest running : all) {
                 long pace = running.worker().equals("llm-1") ? paceOfFirstNanos : paceNanos;
                 if (pace > 0) {
                     placement.progress(running, (int) (now / pace), false, now);
@@ -198,7 +198,7 @@
             }
             placement.advance(now);
         }
-        for (Running running : all) {
+        for (RunningRequest running : all) {
             placement.released(running, new Completion(Completion.End.CANCELLED, -1, 1, 0), 4 * SECOND);
         }
     }
@@ -211,17 +211,17 @@
         return names;
     }
 
-    private Running place(PlacementRequest candidate, long nowNanos) {
+    private RunningRequest place(PlacementRequest candidate, long nowNanos) {
         return grant(candidate, placement.place(candidate, nowNanos).orElseThrow(), nowNanos);
     }
 
-    private Running grant(PlacementRequest candidate, String worker, long nowNanos) {
+    private RunningRequest grant(PlacementRequest candidate, String worker, long nowNanos) {
         return grant(placement, candidate, worker, nowNanos);
     }
 
-    private Running grant(CellPlacement at, PlacementRequest candidate, String worker, long nowNanos) {
+    private RunningRequest grant(CellPlacement at, PlacementRequest candidate, String worker, long nowNanos) {
         lastGrant++;
-        Running running = new Running(lastGrant, candidate, worker, false, nowNanos);
+        RunningRequest running = new RunningRequest(lastGrant, candidate, worker, false, nowNanos);
         at.granted(running, nowNanos);
         return running;
     }
