--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -7,7 +7,7 @@
 
 import org.dotterelcourse.gateway.GatewayLoop;
 import org.dotterelcourse.gateway.GatewayState;
-import org.dotterelcourse.policy.line.Waiter;
+import org.dotterelcourse.policy.line.PendingRequest;
 import org.dotterelcourse.policy.line.WaitingLine;
 import org.dotterelcourse.policy.selection.Pace;
 import org.dotterelcourse.policy.selection.Prompt;
@@ -113,7 +113,7 @@
         double lead = state.model(terms.upstream().name()).leadMillis();
         long onTime = terms.arrivalNanos() + nanos(terms.route().targetMillis() - lead);
         long inTime = terms.deadlineNanos() - nanos(Selection.usualMillis(entry.call));
-        line.join(new Waiter<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
+        line.join(new PendingRequest<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
         entry.sink.onDispose(() -> line.leave(entry));
         if (!looking) {
             looking = true;
@@ -164,7 +164,7 @@
         lines.values().forEach(line -> refuse(line, line.takeAll(), loop.nowNanos()));
     }
 
-    private void refuse(WaitingLine<Entry> line, List<Waiter<Entry>> refused, long now) {
+    private void refuse(WaitingLine<Entry> line, List<PendingRequest<Entry>> refused, long now) {
         refused.forEach(each -> each.item().sink.success(new Admitted.Refused(retryAfterMillis(line, now))));
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/Waiter.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/PendingRequest.java
@@ -11,5 +11,5 @@
  * @param inTimeUntilNanos until when it can still be placed and end before its client gives up
  * @param <T> the type of what it is known by
  */
-public record Waiter<T>(
+public record PendingRequest<T>(
         T item, int priority, String customer, long arrivalNanos, long onTimeUntilNanos, long inTimeUntilNanos) {}
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/WaitingLine.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/WaitingLine.java
@@ -31,7 +31,7 @@
     private static final double FORGOTTEN = 0.01;
     private static final double NANOS_PER_MILLI = 1e6;
 
-    private final List<Waiter<T>> waiting = new ArrayList<>();
+    private final List<PendingRequest<T>> waiting = new ArrayList<>();
     private final Map<String, Served> served = new HashMap<>();
     private boolean oldestNext;
     private double placed;
@@ -48,7 +48,7 @@
      *
      * @param waiter the request
      */
-    public void join(Waiter<T> waiter) {
+    public void join(PendingRequest<T> waiter) {
         waiting.add(waiter);
     }
 
@@ -76,15 +76,15 @@
      * @param nowNanos the time
      * @return empty if nobody waits
      */
-    public Optional<Waiter<T>> next(long nowNanos) {
-        Comparator<Waiter<T>> order = Comparator.<Waiter<T>>comparingInt(Waiter::priority)
+    public Optional<PendingRequest<T>> next(long nowNanos) {
+        Comparator<PendingRequest<T>> order = Comparator.<PendingRequest<T>>comparingInt(PendingRequest::priority)
                 .thenComparing(each -> nowNanos > each.onTimeUntilNanos())
                 .thenComparingDouble(oldestNext ? each -> 0 : servedLately(nowNanos))
-                .thenComparingLong(Waiter::arrivalNanos);
+                .thenComparingLong(PendingRequest::arrivalNanos);
         return waiting.stream().min(order);
     }
 
-    private ToDoubleFunction<Waiter<T>> servedLately(long nowNanos) {
+    private ToDoubleFunction<PendingRequest<T>> servedLately(long nowNanos) {
         return each -> served.containsKey(each.customer())
                 ? served.get(each.customer()).lately(nowNanos)
                 : 0;
@@ -129,8 +129,8 @@
      * @param nowNanos the time
      * @return who is to be told so
      */
-    public List<Waiter<T>> takeHopeless(long nowNanos) {
-        List<Waiter<T>> hopeless = waiting.stream()
+    public List<PendingRequest<T>> takeHopeless(long nowNanos) {
+        List<PendingRequest<T>> hopeless = waiting.stream()
                 .filter(each -> nowNanos > each.inTimeUntilNanos())
                 .toList();
         waiting.removeAll(hopeless);
@@ -142,8 +142,8 @@
      *
      * @return who is to be told to go elsewhere
      */
-    public List<Waiter<T>> takeAll() {
-        List<Waiter<T>> all = List.copyOf(waiting);
+    public List<PendingRequest<T>> takeAll() {
+        List<PendingRequest<T>> all = List.copyOf(waiting);
         waiting.clear();
         return all;
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -86,7 +86,7 @@
             send(stream);
             return;
         }
-        line.join(new Waiter<>(
+        line.join(new PendingRequest<>(
                 stream,
                 2,
                 "c",
@@ -99,7 +99,7 @@
     private void letThrough(double now) {
         refused += line.takeHopeless(nanos(now)).size();
         while (line.size() > 0 && under.size() < model.streamsWithin(TIMEOUT_MILLIS / 2)) {
-            Waiter<Stream> next = line.next(nanos(now)).orElseThrow();
+            PendingRequest<Stream> next = line.next(nanos(now)).orElseThrow();
             line.leave(next.item());
             line.placed(next.customer(), nanos(now));
             send(next.item());
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/WaitingLineTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/WaitingLineTest.java
@@ -31,8 +31,8 @@
     // and in the end everybody.
     @Test
     void whatCanStillBeOnTimeGoesBeforeWhatIsLate() {
-        line.join(new Waiter<>("late", 2, "a", 0, SECOND, 9 * SECOND));
-        line.join(new Waiter<>("on time", 2, "a", SECOND, 5 * SECOND, 9 * SECOND));
+        line.join(new PendingRequest<>("late", 2, "a", 0, SECOND, 9 * SECOND));
+        line.join(new PendingRequest<>("on time", 2, "a", SECOND, 5 * SECOND, 9 * SECOND));
         assertThat(serveAll(2 * SECOND)).containsExactly("on time", "late");
     }
 
@@ -49,7 +49,7 @@
         }
         Map<String, Integer> served = new HashMap<>();
         for (int i = 0; i < 20; i++) {
-            Waiter<String> next = line.next(SECOND).orElseThrow();
+            PendingRequest<String> next = line.next(SECOND).orElseThrow();
             line.leave(next.item());
             line.placed(next.customer(), SECOND);
             served.merge(next.customer().equals("hot") ? "hot" : "small", 1, Integer::sum);
@@ -61,9 +61,9 @@
     // Whoever could no longer end in time would take an engine's work for nothing. Its client is told at once.
     @Test
     void whatCannotEndInTimeIsTakenOut() {
-        line.join(new Waiter<>("a", 2, "c", 0, SECOND, 2 * SECOND));
-        line.join(new Waiter<>("b", 2, "c", 0, SECOND, 4 * SECOND));
-        assertThat(line.takeHopeless(3 * SECOND)).extracting(Waiter::item).containsExactly("a");
+        line.join(new PendingRequest<>("a", 2, "c", 0, SECOND, 2 * SECOND));
+        line.join(new PendingRequest<>("b", 2, "c", 0, SECOND, 4 * SECOND));
+        assertThat(line.takeHopeless(3 * SECOND)).extracting(PendingRequest::item).containsExactly("a");
         assertThat(line.size()).isEqualTo(1);
     }
 
@@ -84,11 +84,11 @@
             @ForAll @Size(max = 40) List<@IntRange(max = 3) Integer> priorities) {
         WaitingLine<Integer> random = new WaitingLine<>();
         for (int i = 0; i < priorities.size(); i++) {
-            random.join(new Waiter<>(i, priorities.get(i), "c" + i % 3, i, i % 5 * SECOND, 9 * SECOND));
+            random.join(new PendingRequest<>(i, priorities.get(i), "c" + i % 3, i, i % 5 * SECOND, 9 * SECOND));
         }
         List<Integer> order = new ArrayList<>();
         while (random.size() > 0) {
-            Waiter<Integer> next = random.next(2 * SECOND).orElseThrow();
+            PendingRequest<Integer> next = random.next(2 * SECOND).orElseThrow();
             order.add(next.item());
             random.leave(next.item());
             random.placed(next.customer(), 2 * SECOND);
@@ -100,14 +100,14 @@
     private List<String> serveAll(long nowNanos) {
         List<String> order = new ArrayList<>();
         while (line.size() > 0) {
-            Waiter<String> next = line.next(nowNanos).orElseThrow();
+            PendingRequest<String> next = line.next(nowNanos).orElseThrow();
             order.add(next.item());
             line.leave(next.item());
         }
         return order;
     }
 
-    private static Waiter<String> waiter(String item, int priority, String customer, long arrivalNanos) {
-        return new Waiter<>(item, priority, customer, arrivalNanos, 5 * SECOND, 9 * SECOND);
+    private static PendingRequest<String> waiter(String item, int priority, String customer, long arrivalNanos) {
+        return new PendingRequest<>(item, priority, customer, arrivalNanos, 5 * SECOND, 9 * SECOND);
     }
 }
