--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -8,7 +8,7 @@
 import org.dotterelcourse.gateway.GatewayLoop;
 import org.dotterelcourse.gateway.GatewayState;
 import org.dotterelcourse.policy.line.PendingRequest;
-import org.dotterelcourse.policy.line.WaitingLine;
+import org.dotterelcourse.policy.line.UpstreamQueue;
 import org.dotterelcourse.policy.selection.Pace;
 import org.dotterelcourse.policy.selection.Prompt;
 import reactor.core.publisher.Mono;
@@ -16,7 +16,7 @@
 
 /**
  * Lets calls that can wait for their first event through to the engines as these have room, in the order of the
- * {@link WaitingLine}. Used on the gateway's loop only.
+ * {@link UpstreamQueue}. Used on the gateway's loop only.
  */
 final class EngineLines {
     /** Below the time in which peers tell each other of free places, and well below the latency targets of such calls. */
@@ -37,7 +37,7 @@
     private final GatewayState state;
     private final Selection selection;
     private final RandomGenerator random;
-    private final Map<String, WaitingLine<Entry>> lines = new HashMap<>();
+    private final Map<String, UpstreamQueue<Entry>> lines = new HashMap<>();
     private boolean looking;
 
     /** A call in a line, and who hears of its end there; two are never equal. */
@@ -89,7 +89,7 @@
     Mono<Admitted> admit(Call call) {
         return Mono.defer(() -> {
             long now = loop.nowNanos();
-            WaitingLine<Entry> line = line(call);
+            UpstreamQueue<Entry> line = line(call);
             if (line.size() == 0) {
                 Selection.Outcome outcome = selection.placeInRoom(call, now);
                 if (!(outcome instanceof Selection.Outcome.NoRoom)) {
@@ -104,11 +104,11 @@
         });
     }
 
-    private WaitingLine<Entry> line(Call call) {
-        return lines.computeIfAbsent(call.terms().upstream().name(), upstream -> new WaitingLine<>());
+    private UpstreamQueue<Entry> line(Call call) {
+        return lines.computeIfAbsent(call.terms().upstream().name(), upstream -> new UpstreamQueue<>());
     }
 
-    private void join(WaitingLine<Entry> line, Entry entry) {
+    private void join(UpstreamQueue<Entry> line, Entry entry) {
         Call.Terms terms = entry.call.terms();
         double lead = state.model(terms.upstream().name()).leadMillis();
         long onTime = terms.arrivalNanos() + nanos(terms.route().targetMillis() - lead);
@@ -127,7 +127,7 @@
 
     private void look() {
         long now = loop.nowNanos();
-        for (WaitingLine<Entry> line : lines.values()) {
+        for (UpstreamQueue<Entry> line : lines.values()) {
             refuse(line, line.takeHopeless(now), now);
             letThrough(line, now);
         }
@@ -137,7 +137,7 @@
         }
     }
 
-    private void letThrough(WaitingLine<Entry> line, long now) {
+    private void letThrough(UpstreamQueue<Entry> line, long now) {
         int allowed =
                 line.next(now).map(first -> partOfRoom(first.item().call, now)).orElse(0);
         for (int i = 0; i < allowed && line.size() > 0; i++) {
@@ -164,11 +164,11 @@
         lines.values().forEach(line -> refuse(line, line.takeAll(), loop.nowNanos()));
     }
 
-    private void refuse(WaitingLine<Entry> line, List<PendingRequest<Entry>> refused, long now) {
+    private void refuse(UpstreamQueue<Entry> line, List<PendingRequest<Entry>> refused, long now) {
         refused.forEach(each -> each.item().sink.success(new Admitted.Refused(retryAfterMillis(line, now))));
     }
 
-    private long retryAfterMillis(WaitingLine<Entry> line, long now) {
+    private long retryAfterMillis(UpstreamQueue<Entry> line, long now) {
         double wait = Math.min(MOST_RETRY_MILLIS, Math.max(LEAST_RETRY_MILLIS, line.waitMillis(now)));
         return (long) (wait * (1 - SPREAD / 2 + SPREAD * random.nextDouble()));
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/WaitingLine.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
@@ -21,7 +21,7 @@
  *
  * @param <T> the type of what the requests are known by
  */
-public final class WaitingLine<T> {
+public final class UpstreamQueue<T> {
     /** As long as a burst takes to build up: a customer's share is judged by what it got in the last seconds. */
     private static final double HALF_LIFE_NANOS = 4e9;
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -26,7 +26,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final EngineModel model = new EngineModel();
-    private final WaitingLine<Stream> line = new WaitingLine<>();
+    private final UpstreamQueue<Stream> line = new UpstreamQueue<>();
     private final List<Stream> under = new ArrayList<>();
     private final Deque<Stream> unread = new ArrayDeque<>();
     private int ended;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/WaitingLineTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
@@ -14,10 +14,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-class WaitingLineTest {
+class UpstreamQueueTest {
     private static final long SECOND = 1_000_000_000L;
 
-    private final WaitingLine<String> line = new WaitingLine<>();
+    private final UpstreamQueue<String> line = new UpstreamQueue<>();
 
     @Test
     void theMoreUrgentGoFirstAndAmongEqualsTheOlder() {
@@ -82,7 +82,7 @@
     @Property(tries = 200, seed = "7")
     void everybodyIsServedOnceAndNobodyBeforeOneThatIsMoreUrgent(
             @ForAll @Size(max = 40) List<@IntRange(max = 3) Integer> priorities) {
-        WaitingLine<Integer> random = new WaitingLine<>();
+        UpstreamQueue<Integer> random = new UpstreamQueue<>();
         for (int i = 0; i < priorities.size(); i++) {
             random.join(new PendingRequest<>(i, priorities.get(i), "c" + i % 3, i, i % 5 * SECOND, 9 * SECOND));
         }
