--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -5,7 +5,7 @@
 import org.dotterelcourse.policy.cold.ColdPeriod;
 import org.dotterelcourse.policy.cold.ColdStart;
 import org.dotterelcourse.policy.rate.RateShare;
-import org.dotterelcourse.policy.rate.SentWindow;
+import org.dotterelcourse.policy.rate.SlidingWindowLog;
 import org.dotterelcourse.policy.repeat.RecentOutcomes;
 import org.dotterelcourse.policy.repeat.SharedSuspicion;
 import org.dotterelcourse.policy.repeat.WorkerTrust;
@@ -18,7 +18,7 @@
     private final RecentOutcomes outcomes = new RecentOutcomes();
     private final SharedSuspicion sharedSuspicion = new SharedSuspicion();
     private final ColdPeriod coldPeriod = new ColdPeriod();
-    private final SentWindow sent = new SentWindow();
+    private final SlidingWindowLog sent = new SlidingWindowLog();
     private final int incarnation;
     private final long order;
     private WorkerEntry entry;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/SentWindow.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/SlidingWindowLog.java
@@ -7,7 +7,7 @@
  * When this process sent one worker its last requests. Those from before its intake was known to be bounded count as
  * well: it may have been so already when they came.
  */
-public final class SentWindow {
+public final class SlidingWindowLog {
     /** No window that allows several requests is longer. Of others only the last request need be known. */
     private static final long KEPT_NANOS = 2_000_000_000L;
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
@@ -42,7 +42,7 @@
             @ForAll @IntRange(min = 1, max = 40) int processes,
             @ForAll @IntRange(min = 1, max = 400) int everyMillis) {
         RateShare share = RateShare.ofPeak(perSecond, processes);
-        SentWindow window = new SentWindow();
+        SlidingWindowLog window = new SlidingWindowLog();
         List<Long> sent = new ArrayList<>();
         for (long now = 0; now < 12 * SECOND; now += everyMillis * 1_000_000L) {
             if (window.open(share, now)) {
@@ -78,7 +78,7 @@
         Random random = new Random(seed);
         List<Long> all = new ArrayList<>();
         for (int holder = 0; holder < share.holders(); holder++) {
-            SentWindow window = new SentWindow();
+            SlidingWindowLog window = new SlidingWindowLog();
             for (long now = random.nextInt(3_000) * SECOND / 1_000; now < 15 * SECOND; now += 20_000_000L) {
                 if (window.open(share, now)) {
                     window.sent(now);
