--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/BrokenAttempts.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/BrokenAttempts.java
@@ -50,7 +50,7 @@
 
     /** Whether a request may be sent to a worker. */
     Verdict verdict(Call call) {
-        return quarantine.empty() ? new Verdict.Free() : quarantine.verdict(call.fingerprint(), loop.nowNanos());
+        return quarantine.empty() ? new Verdict.Allowed() : quarantine.verdict(call.fingerprint(), loop.nowNanos());
     }
 
     /** A request came to its end at a worker. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
@@ -85,11 +85,11 @@
     public Verdict verdict(Fingerprint request, long nowNanos) {
         CrashRecord found = records.get(request);
         if (found == null) {
-            return new Verdict.Free();
+            return new Verdict.Allowed();
         }
         found.forget(nowNanos - COUNTED_NANOS);
         if (!found.suspected()) {
-            return new Verdict.Free();
+            return new Verdict.Allowed();
         }
         List<CrashRecord.Mark> chain = found.chain();
         if (weight(chain) < HELD_WEIGHT) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/Verdict.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/Verdict.java
@@ -3,7 +3,7 @@
 /** Whether a request may be sent to a worker. */
 public sealed interface Verdict {
     /** Nothing speaks against it. */
-    record Free() implements Verdict {}
+    record Allowed() implements Verdict {}
 
     /** A worker crashed under it, which may be chance: it may run, but not beside another suspect. */
     record Suspect() implements Verdict {}
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
@@ -19,7 +19,7 @@
     @Test
     void aRequestIsFreeWhileNoWorkerHasCrashedUnderIt() {
         crash(OTHER, 1, START);
-        assertThat(quarantine.verdict(REQUEST, START)).isInstanceOf(Verdict.Free.class);
+        assertThat(quarantine.verdict(REQUEST, START)).isInstanceOf(Verdict.Allowed.class);
     }
 
     @Test
@@ -28,7 +28,7 @@
         assertThat(quarantine.verdict(REQUEST, START)).isInstanceOf(Verdict.Suspect.class);
         crash(REQUEST, 2, START + SECOND);
         assertThat(quarantine.verdict(REQUEST, START + SECOND)).isInstanceOf(Verdict.Held.class);
-        assertThat(quarantine.verdict(OTHER, START + SECOND)).isInstanceOf(Verdict.Free.class);
+        assertThat(quarantine.verdict(OTHER, START + SECOND)).isInstanceOf(Verdict.Allowed.class);
     }
 
     @Test
@@ -44,7 +44,7 @@
         crash(REQUEST, 1, START);
         crash(REQUEST, 2, START + SECOND);
         learn(new CrashNotice(REQUEST, Ending.FINISHED, 0, 0, 0), START + 2 * SECOND);
-        assertThat(quarantine.verdict(REQUEST, START + 2 * SECOND)).isInstanceOf(Verdict.Free.class);
+        assertThat(quarantine.verdict(REQUEST, START + 2 * SECOND)).isInstanceOf(Verdict.Allowed.class);
     }
 
     @Test
@@ -52,7 +52,7 @@
         crash(REQUEST, 1, START);
         learn(new CrashNotice(REQUEST, Ending.FINISHED, 0, 0, 0), START + 3 * SECOND);
         learn(new CrashNotice(REQUEST, Ending.CRASHED_BEFORE_OUTPUT, 2, 100, 1_500), START + 4 * SECOND);
-        assertThat(quarantine.verdict(REQUEST, START + 4 * SECOND)).isInstanceOf(Verdict.Free.class);
+        assertThat(quarantine.verdict(REQUEST, START + 4 * SECOND)).isInstanceOf(Verdict.Allowed.class);
     }
 
     @Test
