--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -113,7 +113,7 @@
             return Mono.just(last(call, earlier, "no time left"));
         }
         Verdict verdict = broken.verdict(call);
-        if (verdict instanceof Verdict.Held held) {
+        if (verdict instanceof Verdict.Quarantined held) {
             return Mono.just(quarantined(call, earlier, held));
         }
         call.suspect(verdict instanceof Verdict.Suspect);
@@ -136,7 +136,7 @@
             return Mono.just(last(call, earlier, "no worker is free"));
         }
         Placement placement = placed.placement();
-        if (broken.verdict(call) instanceof Verdict.Held held) {
+        if (broken.verdict(call) instanceof Verdict.Quarantined held) {
             placement.ended();
             return Mono.just(quarantined(call, earlier, held));
         }
@@ -348,7 +348,7 @@
     }
 
     /** The refusal of a request that crashes workers, unless there is something better or it may have run. */
-    private static Reply quarantined(Call call, Optional<WholeAnswer> earlier, Verdict.Held held) {
+    private static Reply quarantined(Call call, Optional<WholeAnswer> earlier, Verdict.Quarantined held) {
         String reason = "workers crash under this request";
         boolean refused = earlier.isEmpty() && !call.hasMaybeRun();
         return refused ? new Reply.Own(OwnAnswer.notRun(reason, held.retryAfterMillis())) : last(call, earlier, reason);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
@@ -96,7 +96,7 @@
             return new Verdict.Suspect();
         }
         long endNanos = chain.get(0).crashedNanos() + COUNTED_NANOS;
-        return new Verdict.Held((endNanos - nowNanos) / NANOS_PER_MILLI);
+        return new Verdict.Quarantined((endNanos - nowNanos) / NANOS_PER_MILLI);
     }
 
     /**
@@ -137,7 +137,7 @@
     }
 
     private boolean held(Fingerprint request, long nowNanos) {
-        return verdict(request, nowNanos) instanceof Verdict.Held;
+        return verdict(request, nowNanos) instanceof Verdict.Quarantined;
     }
 
     private static int weight(List<CrashRecord.Mark> chain) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/Verdict.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/Verdict.java
@@ -13,5 +13,5 @@
      *
      * @param retryAfterMillis when it may be tried once more
      */
-    record Held(long retryAfterMillis) implements Verdict {}
+    record Quarantined(long retryAfterMillis) implements Verdict {}
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
@@ -27,7 +27,7 @@
         crash(REQUEST, 1, START);
         assertThat(quarantine.verdict(REQUEST, START)).isInstanceOf(Verdict.Suspect.class);
         crash(REQUEST, 2, START + SECOND);
-        assertThat(quarantine.verdict(REQUEST, START + SECOND)).isInstanceOf(Verdict.Held.class);
+        assertThat(quarantine.verdict(REQUEST, START + SECOND)).isInstanceOf(Verdict.Quarantined.class);
         assertThat(quarantine.verdict(OTHER, START + SECOND)).isInstanceOf(Verdict.Allowed.class);
     }
 
@@ -62,7 +62,7 @@
             assertThat(quarantine.verdict(REQUEST, START + worker * SECOND)).isInstanceOf(Verdict.Suspect.class);
         }
         learn(notice(REQUEST, Ending.CRASHED_DURING_OUTPUT, 4), START + 4 * SECOND);
-        assertThat(quarantine.verdict(REQUEST, START + 4 * SECOND)).isInstanceOf(Verdict.Held.class);
+        assertThat(quarantine.verdict(REQUEST, START + 4 * SECOND)).isInstanceOf(Verdict.Quarantined.class);
     }
 
     @Test
@@ -70,11 +70,11 @@
         crash(REQUEST, 1, START);
         crash(REQUEST, 2, START + SECOND);
         Verdict verdict = quarantine.verdict(REQUEST, START + SECOND);
-        assertThat(verdict).isEqualTo(new Verdict.Held((COUNTED - SECOND) / 1_000_000));
+        assertThat(verdict).isEqualTo(new Verdict.Quarantined((COUNTED - SECOND) / 1_000_000));
         long later = START + COUNTED + SECOND / 2;
         assertThat(quarantine.verdict(REQUEST, later)).isInstanceOf(Verdict.Suspect.class);
         crash(REQUEST, 3, later);
-        assertThat(quarantine.verdict(REQUEST, later)).isInstanceOf(Verdict.Held.class);
+        assertThat(quarantine.verdict(REQUEST, later)).isInstanceOf(Verdict.Quarantined.class);
     }
 
     @Test
@@ -84,7 +84,7 @@
         for (int i = 0; i < 5_000; i++) {
             crash(new Fingerprint(1_000 + i), 3, START + 2 * SECOND);
         }
-        assertThat(quarantine.verdict(REQUEST, START + 2 * SECOND)).isInstanceOf(Verdict.Held.class);
+        assertThat(quarantine.verdict(REQUEST, START + 2 * SECOND)).isInstanceOf(Verdict.Quarantined.class);
     }
 
     @Test
@@ -126,7 +126,7 @@
         RequestQuarantine started = new RequestQuarantine();
         List<CrashNotice> reminders = quarantine.takeNotices(now);
         reminders.forEach(notice -> started.learn(notice, now));
-        assertThat(started.verdict(REQUEST, now)).isInstanceOf(Verdict.Held.class);
+        assertThat(started.verdict(REQUEST, now)).isInstanceOf(Verdict.Quarantined.class);
     }
 
     @Test
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/SimulatedFleet.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/SimulatedFleet.java
@@ -43,7 +43,7 @@
     void send() {
         int process = random.nextInt(processes.size());
         RequestQuarantine quarantine = processes.get(process);
-        if (quarantine.verdict(REQUEST, nowNanos) instanceof Verdict.Held) {
+        if (quarantine.verdict(REQUEST, nowNanos) instanceof Verdict.Quarantined) {
             return;
         }
         crashes++;
