--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -276,7 +276,7 @@
         boolean isAnswered = completion.end() == Completion.End.ANSWERED;
         // A plain service's answer has no tokens to count, and is one unit of work.
         int tokens = isAnswered ? Math.max(1, completion.outputTokens()) : completion.outputTokens();
-        double actual = tokens > 0 ? ended.candidate().prefillWork() + tokens : 0;
+        double actual = tokens > 0 ? ended.placementRequest().prefillWork() + tokens : 0;
         queue.settle(ask.terms().name(), ask.customer(), charged, actual);
         if (isAnswered) {
             estimator.observe(ask.terms(), ask.customer(), ask.resumedTokens() + tokens);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
@@ -57,7 +57,7 @@
      *
      * @return the candidate
      */
-    public PlacementRequest candidate() {
+    public PlacementRequest placementRequest() {
         return candidate;
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -132,7 +132,7 @@
         }
         grants.put(running.grant(), running);
         history.note(grants.size(), nowNanos);
-        pendingPrefill += running.candidate().prefillWork();
+        pendingPrefill += running.placementRequest().prefillWork();
         longRunning += running.isLong() ? 1 : 0;
     }
 
@@ -213,6 +213,6 @@
     }
 
     private void endPrefill(RunningRequest running) {
-        pendingPrefill = Math.max(0, pendingPrefill - running.candidate().prefillWork());
+        pendingPrefill = Math.max(0, pendingPrefill - running.placementRequest().prefillWork());
     }
 }
