--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
@@ -75,7 +75,7 @@
      *
      * @return whether it was
      */
-    public boolean owed() {
+    public boolean isMinimumShareGrant() {
         return owed;
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
@@ -62,7 +62,7 @@
         return resumable
                 && movedOn
                 && ask.terms().tier() > urgent.terms().tier()
-                && !candidate.owed()
+                && !candidate.isMinimumShareGrant()
                 && placement.isUsable(candidate.worker(), urgent);
     }
 
