--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
@@ -8,7 +8,7 @@
     private final PlacementRequest candidate;
     private final String worker;
     private final boolean owed;
-    private final long sinceNanos;
+    private final long grantedNanos;
     private boolean isLong;
     private int tokens;
     private int sampledTokens;
@@ -28,7 +28,7 @@
         this.candidate = candidate;
         this.worker = worker;
         this.owed = owed;
-        this.sinceNanos = nowNanos;
+        this.grantedNanos = nowNanos;
         this.isLong = candidate.isLong();
         this.tokens = candidate.ask().resumedTokens();
         this.sampledNanos = -1;
@@ -84,8 +84,8 @@
      *
      * @return nanoseconds
      */
-    public long sinceNanos() {
-        return sinceNanos;
+    public long grantedNanos() {
+        return grantedNanos;
     }
 
     /**
