--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -227,7 +227,7 @@
         }
         RunningRequest stopped = victim.get();
         effects.add(new CellEffect.Preempted(stopped.ask().id(), stopped.grant()));
-        int tokens = stopped.tokens() - stopped.ask().resumedTokens();
+        int tokens = stopped.outputTokens() - stopped.ask().resumedTokens();
         end(stopped, new Completion(Completion.End.CANCELLED, -1, nowNanos - stopped.grantedNanos(), tokens), nowNanos);
         queue.take(urgent.ask().id());
         effects.add(grant(urgent, stopped.worker(), false, nowNanos));
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
@@ -93,7 +93,7 @@
      *
      * @return the number
      */
-    public int tokens() {
+    public int outputTokens() {
         return tokens;
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
@@ -68,8 +68,8 @@
 
     private double gain(RunningRequest candidate) {
         Ask ask = candidate.ask();
-        double left = estimator.remaining(ask.terms(), ask.customer(), candidate.tokens());
-        double again = settings.prefillWeight() * (ask.inputTokens() + candidate.tokens());
+        double left = estimator.remaining(ask.terms(), ask.customer(), candidate.outputTokens());
+        double again = settings.prefillWeight() * (ask.inputTokens() + candidate.outputTokens());
         return left - again;
     }
 
