--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -243,7 +243,7 @@
 
     /** A plain service's answer, or one whose progress nobody told, is one sample as a whole. */
     private static void sampleWhole(Worker worker, RunningRequest running, Completion completion, long nowNanos) {
-        if (running.started() || completion.durationNanos() <= 0) {
+        if (running.hasOutput() || completion.durationNanos() <= 0) {
             return;
         }
         boolean hasTokens = completion.outputTokens() > 1 && completion.firstTokenNanos() >= 0;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
@@ -102,7 +102,7 @@
      *
      * @return whether one has
      */
-    public boolean started() {
+    public boolean hasOutput() {
         return tokens > ask().resumedTokens();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -138,7 +138,7 @@
 
     void progress(RunningRequest running, int tokens, boolean becomesLong, int tokensPerSample, long nowNanos) {
         heardNanos = nowNanos;
-        if (!running.started() && tokens > running.ask().resumedTokens()) {
+        if (!running.hasOutput() && tokens > running.ask().resumedTokens()) {
             endPrefill(running);
         }
         if (becomesLong && !running.isLong()) {
@@ -157,7 +157,7 @@
         }
         history.note(grants.size(), nowNanos);
         longRunning -= running.isLong() ? 1 : 0;
-        if (!running.started()) {
+        if (!running.hasOutput()) {
             endPrefill(running);
         }
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
@@ -58,7 +58,7 @@
     private boolean mayStop(RunningRequest candidate, Ask urgent) {
         Ask ask = candidate.ask();
         boolean resumable = ask.idempotent() && ask.terms().tokenIntervalNanos() > 0;
-        boolean movedOn = ask.resumedTokens() == 0 || candidate.started();
+        boolean movedOn = ask.resumedTokens() == 0 || candidate.hasOutput();
         return resumable
                 && movedOn
                 && ask.terms().tier() > urgent.terms().tier()
