--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -171,7 +171,7 @@
 
     private void serve(List<CellEffect> effects, long nowNanos) {
         refuseExpired(effects, nowNanos);
-        while (queue.size() > 0 && placement.hasRoom(nowNanos)) {
+        while (queue.size() > 0 && placement.hasCapacity(nowNanos)) {
             noRoomForLong = false;
             Optional<WaitingQueue.Taken<String>> taken = queue.next(waiting -> place(waiting, nowNanos), nowNanos);
             if (taken.isEmpty()) {
@@ -253,7 +253,7 @@
             return false;
         }
         boolean isPast = admission.startByNanos(ask) <= nowNanos;
-        boolean hasRoom = queue.size() == 0 && placement.hasRoom(nowNanos);
+        boolean hasRoom = queue.size() == 0 && placement.hasCapacity(nowNanos);
         return isPast || !hasRoom && admission.tooLate(ask, workAhead, placement.slots(), nowNanos);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -49,9 +49,9 @@
     }
 
     @Override
-    public boolean hasRoom(long nowNanos) {
+    public boolean hasCapacity(long nowNanos) {
         for (Worker worker : workers.values()) {
-            if (worker.hasRoom(nowNanos)) {
+            if (worker.hasCapacity(nowNanos)) {
                 return true;
             }
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -16,7 +16,7 @@
      * @param nowNanos the time
      * @return whether one may
      */
-    boolean hasRoom(long nowNanos);
+    boolean hasCapacity(long nowNanos);
 
     /**
      * Whether any worker could ever take the request.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -91,12 +91,12 @@
         return Math.max(1, (int) Math.round(info.concurrency() / health.slowFactor()));
     }
 
-    boolean hasRoom(long nowNanos) {
+    boolean hasCapacity(long nowNanos) {
         return nowNanos >= fullUntilNanos && grants.size() + foreign(nowNanos) < slots(nowNanos);
     }
 
     boolean hasRoomFor(PlacementRequest candidate, long nowNanos) {
-        if (!hasRoom(nowNanos) || isExcludedFor(candidate.ask())) {
+        if (!hasCapacity(nowNanos) || isExcludedFor(candidate.ask())) {
             return false;
         }
         if (health.isEjected() && !mayProbe(candidate.ask())) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -127,8 +127,8 @@
         placement.report(new WorkerReport("llm-1", 0, 3, 1), 5 * SECOND);
 
         assertThat(workersOf(20, 5 * SECOND)).doesNotContain("llm-1");
-        assertThat(placement.hasRoom(14 * SECOND)).isFalse();
-        assertThat(placement.hasRoom(16 * SECOND)).isTrue();
+        assertThat(placement.hasCapacity(14 * SECOND)).isFalse();
+        assertThat(placement.hasCapacity(16 * SECOND)).isTrue();
     }
 
     @Test
@@ -166,7 +166,7 @@
         grant(fresh, candidate(0, 2), "llm-1", 0);
         fresh.workers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 1, false)), 1);
 
-        assertThat(fresh.hasRoom(1)).isFalse();
+        assertThat(fresh.hasCapacity(1)).isFalse();
     }
 
     private Set<String> ejectOne(long nowNanos) {
