--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -263,7 +263,7 @@
         running.put(lastGrant, granted);
         charges.put(lastGrant, waiting.work());
         runningIds.add(waiting.ask().id());
-        placement.granted(granted, nowNanos);
+        placement.recordGrant(granted, nowNanos);
         return new CellEffect.Granted(waiting.ask().id(), lastGrant, worker);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -107,9 +107,9 @@
     }
 
     @Override
-    public void granted(RunningRequest running, long nowNanos) {
+    public void recordGrant(RunningRequest running, long nowNanos) {
         workers.computeIfAbsent(running.worker(), name -> unlisted(name, nowNanos))
-                .granted(running, nowNanos);
+                .recordGrant(running, nowNanos);
     }
 
     @Override
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -50,7 +50,7 @@
      * @param running the request
      * @param nowNanos the time
      */
-    void granted(RunningRequest running, long nowNanos);
+    void recordGrant(RunningRequest running, long nowNanos);
 
     /**
      * A request makes progress.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -125,7 +125,7 @@
         return Hashing.komihash5_0().hashLongLongToLong(prefix, nameHash);
     }
 
-    void granted(RunningRequest running, long nowNanos) {
+    void recordGrant(RunningRequest running, long nowNanos) {
         history.note(grants.size(), nowNanos);
         if (grants.isEmpty()) {
             heardNanos = nowNanos;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -222,7 +222,7 @@
     private RunningRequest grant(CellPlacement at, PlacementRequest candidate, String worker, long nowNanos) {
         lastGrant++;
         RunningRequest running = new RunningRequest(lastGrant, candidate, worker, false, nowNanos);
-        at.granted(running, nowNanos);
+        at.recordGrant(running, nowNanos);
         return running;
     }
 
