--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -107,7 +107,7 @@
             return List.of();
         }
         boolean becomesLong = isLong(outputTokens);
-        placement.progress(found, outputTokens, becomesLong, nowNanos);
+        placement.recordProgress(found, outputTokens, becomesLong, nowNanos);
         return List.of();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -113,10 +113,10 @@
     }
 
     @Override
-    public void progress(RunningRequest running, int tokens, boolean becomesLong, long nowNanos) {
+    public void recordProgress(RunningRequest running, int tokens, boolean becomesLong, long nowNanos) {
         Worker worker = workers.get(running.worker());
         if (worker != null) {
-            worker.progress(running, tokens, becomesLong, TOKENS_PER_SAMPLE, nowNanos);
+            worker.recordProgress(running, tokens, becomesLong, TOKENS_PER_SAMPLE, nowNanos);
         }
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -60,7 +60,7 @@
      * @param becomesLong whether it counts as long from now on
      * @param nowNanos the time
      */
-    void progress(RunningRequest running, int tokens, boolean becomesLong, long nowNanos);
+    void recordProgress(RunningRequest running, int tokens, boolean becomesLong, long nowNanos);
 
     /**
      * A request has left its worker.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -136,7 +136,7 @@
         longRunning += running.isLong() ? 1 : 0;
     }
 
-    void progress(RunningRequest running, int tokens, boolean becomesLong, int tokensPerSample, long nowNanos) {
+    void recordProgress(RunningRequest running, int tokens, boolean becomesLong, int tokensPerSample, long nowNanos) {
         heardNanos = nowNanos;
         if (!running.hasOutput() && tokens > running.ask().resumedTokens()) {
             endPrefill(running);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -193,7 +193,7 @@
             for (RunningRequest running : all) {
                 long pace = running.worker().equals("llm-1") ? paceOfFirstNanos : paceNanos;
                 if (pace > 0) {
-                    placement.progress(running, (int) (now / pace), false, now);
+                    placement.recordProgress(running, (int) (now / pace), false, now);
                 }
             }
             placement.advance(now);
