--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -271,7 +271,7 @@
         running.remove(ended.grant());
         runningIds.remove(ended.ask().id());
         double charged = charges.remove(ended.grant());
-        placement.released(ended, completion, nowNanos);
+        placement.recordRelease(ended, completion, nowNanos);
         Ask ask = ended.ask();
         boolean isAnswered = completion.end() == Completion.End.ANSWERED;
         // A plain service's answer has no tokens to count, and is one unit of work.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -121,13 +121,13 @@
     }
 
     @Override
-    public void released(RunningRequest running, Completion completion, long nowNanos) {
+    public void recordRelease(RunningRequest running, Completion completion, long nowNanos) {
         Worker worker = workers.get(running.worker());
         if (worker == null) {
             return;
         }
         learn(worker, running, completion, nowNanos);
-        worker.released(running, nowNanos);
+        worker.recordRelease(running, nowNanos);
         eject(worker, nowNanos);
         countSlots(nowNanos);
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -69,7 +69,7 @@
      * @param completion what was seen
      * @param nowNanos the time
      */
-    void released(RunningRequest running, Completion completion, long nowNanos);
+    void recordRelease(RunningRequest running, Completion completion, long nowNanos);
 
     /**
      * The list of workers was published.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -151,7 +151,7 @@
         }
     }
 
-    void released(RunningRequest running, long nowNanos) {
+    void recordRelease(RunningRequest running, long nowNanos) {
         if (grants.remove(running.grant()) == null) {
             return;
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
@@ -63,7 +63,9 @@
     void whatCannotEndInTimeIsTakenOut() {
         line.join(new PendingRequest<>("a", 2, "c", 0, SECOND, 2 * SECOND));
         line.join(new PendingRequest<>("b", 2, "c", 0, SECOND, 4 * SECOND));
-        assertThat(line.takeHopeless(3 * SECOND)).extracting(PendingRequest::item).containsExactly("a");
+        assertThat(line.takeHopeless(3 * SECOND))
+                .extracting(PendingRequest::item)
+                .containsExactly("a");
         assertThat(line.size()).isEqualTo(1);
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -40,7 +40,7 @@
         for (int i = 0; i < 5; i++) {
             RunningRequest running = place(candidate(7, 2), 0);
             light.add(running.worker());
-            placement.released(running, ANSWERED, 0);
+            placement.recordRelease(running, ANSWERED, 0);
         }
         Set<String> heavy = new HashSet<>();
         for (int i = 0; i < 12; i++) {
@@ -62,8 +62,8 @@
         RunningRequest probe = place(candidate(0, 2), later);
         assertThat(rest).doesNotContain(probe.worker());
         assertThat(place(candidate(0, 2), later).worker()).isNotEqualTo(probe.worker());
-        placement.released(probe, ANSWERED, later);
-        placement.released(place(candidate(0, 2), later), ANSWERED, later);
+        placement.recordRelease(probe, ANSWERED, later);
+        placement.recordRelease(place(candidate(0, 2), later), ANSWERED, later);
         assertThat(placement.ejected()).isEmpty();
     }
 
@@ -91,7 +91,7 @@
         for (int i = 0; i < 100; i++) {
             placement
                     .place(candidate(0, 2), 0)
-                    .ifPresent(worker -> placement.released(grant(candidate(0, 2), worker, 0), FAILED, 0));
+                    .ifPresent(worker -> placement.recordRelease(grant(candidate(0, 2), worker, 0), FAILED, 0));
         }
 
         assertThat(placement.ejected()).hasSize(2);
@@ -140,7 +140,7 @@
         }
         placement.advance(0);
         for (RunningRequest running : all) {
-            placement.released(running, ANSWERED, SECOND);
+            placement.recordRelease(running, ANSWERED, SECOND);
         }
         placement.report(new WorkerReport("llm-1", 0, 4, 0), 5 * SECOND);
 
@@ -172,7 +172,7 @@
     private Set<String> ejectOne(long nowNanos) {
         String crashed = placement.place(candidate(0, 2), nowNanos).orElseThrow();
         for (int i = 0; i < 3; i++) {
-            placement.released(grant(candidate(0, 2), crashed, nowNanos), FAILED, nowNanos);
+            placement.recordRelease(grant(candidate(0, 2), crashed, nowNanos), FAILED, nowNanos);
         }
         assertThat(placement.ejected()).containsExactly(crashed);
         Set<String> rest = new HashSet<>();
@@ -199,7 +199,7 @@
             placement.advance(now);
         }
         for (RunningRequest running : all) {
-            placement.released(running, new Completion(Completion.End.CANCELLED, -1, 1, 0), 4 * SECOND);
+            placement.recordRelease(running, new Completion(Completion.End.CANCELLED, -1, 1, 0), 4 * SECOND);
         }
     }
 
