--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -132,7 +132,7 @@
 
     @Override
     public List<CellEffect> workers(List<WorkerInfo> published, long nowNanos) {
-        placement.workers(published, nowNanos);
+        placement.updateWorkers(published, nowNanos);
         List<CellEffect> effects = new ArrayList<>();
         for (Waiting waiting : queue.all()) {
             if (!waiting.ask().excludedWorkers().isEmpty() && !placement.canServe(waiting.ask())) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void workers(List<WorkerInfo> published, long nowNanos) {
+    public void updateWorkers(List<WorkerInfo> published, long nowNanos) {
         isPublished = true;
         Map<String, WorkerInfo> byName = new LinkedHashMap<>();
         for (WorkerInfo info : published) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -77,7 +77,7 @@
      * @param published all workers of the cell
      * @param nowNanos the time
      */
-    void workers(List<WorkerInfo> published, long nowNanos);
+    void updateWorkers(List<WorkerInfo> published, long nowNanos);
 
     /**
      * A load report has come.
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -31,7 +31,7 @@
 
     @BeforeEach
     void publishSixWorkers() {
-        placement.workers(workers(4), 0);
+        placement.updateWorkers(workers(4), 0);
     }
 
     @Test
@@ -164,7 +164,7 @@
     void countsAnAdoptedGrantAtAWorkerThatTheListShowsLater() {
         CellPlacement fresh = new CellPlacement(CellSettings.builder().build());
         grant(fresh, candidate(0, 2), "llm-1", 0);
-        fresh.workers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 1, false)), 1);
+        fresh.updateWorkers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 1, false)), 1);
 
         assertThat(fresh.hasCapacity(1)).isFalse();
     }
