--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -146,7 +146,7 @@
 
     @Override
     public List<CellEffect> report(WorkerReport report, long nowNanos) {
-        placement.report(report, nowNanos);
+        placement.recordReport(report, nowNanos);
         return serve(nowNanos);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -157,10 +157,10 @@
     }
 
     @Override
-    public void report(WorkerReport report, long nowNanos) {
+    public void recordReport(WorkerReport report, long nowNanos) {
         Worker worker = workers.get(report.worker());
         if (worker != null) {
-            worker.report(report);
+            worker.recordReport(report);
         }
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -85,7 +85,7 @@
      * @param report the report
      * @param nowNanos the time
      */
-    void report(WorkerReport report, long nowNanos);
+    void recordReport(WorkerReport report, long nowNanos);
 
     /**
      * Time has passed.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -180,7 +180,7 @@
     }
 
     /** Learns from a report how many requests the worker has that this cell didn't grant. */
-    void report(WorkerReport report) {
+    void recordReport(WorkerReport report) {
         if (report.measuredNanos() <= reportNanos) {
             return;
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -124,7 +124,7 @@
     @Test
     void takesAwayTheRoomThatOthersUseAsLongAsTheReportIsFresh() {
         placement.advance(0);
-        placement.report(new WorkerReport("llm-1", 0, 3, 1), 5 * SECOND);
+        placement.recordReport(new WorkerReport("llm-1", 0, 3, 1), 5 * SECOND);
 
         assertThat(workersOf(20, 5 * SECOND)).doesNotContain("llm-1");
         assertThat(placement.hasCapacity(14 * SECOND)).isFalse();
@@ -142,7 +142,7 @@
         for (RunningRequest running : all) {
             placement.recordRelease(running, ANSWERED, SECOND);
         }
-        placement.report(new WorkerReport("llm-1", 0, 4, 0), 5 * SECOND);
+        placement.recordReport(new WorkerReport("llm-1", 0, 4, 0), 5 * SECOND);
 
         assertThat(workersOf(24, 5 * SECOND)).contains("llm-1").hasSize(24);
     }
