--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -113,7 +113,7 @@
         double lead = state.model(terms.upstream().name()).leadMillis();
         long onTime = terms.arrivalNanos() + nanos(terms.route().targetMillis() - lead);
         long inTime = terms.deadlineNanos() - nanos(Selection.usualMillis(entry.call));
-        line.join(new PendingRequest<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
+        line.add(new PendingRequest<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
         entry.sink.onDispose(() -> line.leave(entry));
         if (!looking) {
             looking = true;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
@@ -48,7 +48,7 @@
      *
      * @param waiter the request
      */
-    public void join(PendingRequest<T> waiter) {
+    public void add(PendingRequest<T> waiter) {
         waiting.add(waiter);
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -86,7 +86,7 @@
             send(stream);
             return;
         }
-        line.join(new PendingRequest<>(
+        line.add(new PendingRequest<>(
                 stream,
                 2,
                 "c",
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
@@ -21,9 +21,9 @@
 
     @Test
     void theMoreUrgentGoFirstAndAmongEqualsTheOlder() {
-        line.join(waiter("old", 2, "a", 0));
-        line.join(waiter("new", 2, "a", 1));
-        line.join(waiter("urgent", 0, "a", 2));
+        line.add(waiter("old", 2, "a", 0));
+        line.add(waiter("new", 2, "a", 1));
+        line.add(waiter("urgent", 0, "a", 2));
         assertThat(serveAll(3 * SECOND)).containsExactly("urgent", "old", "new");
     }
 
@@ -31,8 +31,8 @@
     // and in the end everybody.
     @Test
     void whatCanStillBeOnTimeGoesBeforeWhatIsLate() {
-        line.join(new PendingRequest<>("late", 2, "a", 0, SECOND, 9 * SECOND));
-        line.join(new PendingRequest<>("on time", 2, "a", SECOND, 5 * SECOND, 9 * SECOND));
+        line.add(new PendingRequest<>("late", 2, "a", 0, SECOND, 9 * SECOND));
+        line.add(new PendingRequest<>("on time", 2, "a", SECOND, 5 * SECOND, 9 * SECOND));
         assertThat(serveAll(2 * SECOND)).containsExactly("on time", "late");
     }
 
@@ -42,10 +42,10 @@
     @Test
     void aCustomerThatSendsMuchTakesTurnsWithTheOthers() {
         for (int i = 0; i < 80; i++) {
-            line.join(waiter("hot-" + i, 2, "hot", i));
+            line.add(waiter("hot-" + i, 2, "hot", i));
         }
         for (int i = 0; i < 10; i++) {
-            line.join(waiter("small-" + i, 2, "small-" + i % 2, 80 + i));
+            line.add(waiter("small-" + i, 2, "small-" + i % 2, 80 + i));
         }
         Map<String, Integer> served = new HashMap<>();
         for (int i = 0; i < 20; i++) {
@@ -61,8 +61,8 @@
     // Whoever could no longer end in time would take an engine's work for nothing. Its client is told at once.
     @Test
     void whatCannotEndInTimeIsTakenOut() {
-        line.join(new PendingRequest<>("a", 2, "c", 0, SECOND, 2 * SECOND));
-        line.join(new PendingRequest<>("b", 2, "c", 0, SECOND, 4 * SECOND));
+        line.add(new PendingRequest<>("a", 2, "c", 0, SECOND, 2 * SECOND));
+        line.add(new PendingRequest<>("b", 2, "c", 0, SECOND, 4 * SECOND));
         assertThat(line.takeHopeless(3 * SECOND))
                 .extracting(PendingRequest::item)
                 .containsExactly("a");
@@ -76,7 +76,7 @@
             line.placed("c", i * SECOND / 10);
         }
         for (int i = 0; i < 30; i++) {
-            line.join(waiter("w" + i, 2, "c", i));
+            line.add(waiter("w" + i, 2, "c", i));
         }
         assertThat(line.waitMillis(40 * SECOND)).isCloseTo(3_000, within(300.0));
     }
@@ -86,7 +86,7 @@
             @ForAll @Size(max = 40) List<@IntRange(max = 3) Integer> priorities) {
         UpstreamQueue<Integer> random = new UpstreamQueue<>();
         for (int i = 0; i < priorities.size(); i++) {
-            random.join(new PendingRequest<>(i, priorities.get(i), "c" + i % 3, i, i % 5 * SECOND, 9 * SECOND));
+            random.add(new PendingRequest<>(i, priorities.get(i), "c" + i % 3, i, i % 5 * SECOND, 9 * SECOND));
         }
         List<Integer> order = new ArrayList<>();
         while (random.size() > 0) {
