--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -114,7 +114,7 @@
         long onTime = terms.arrivalNanos() + nanos(terms.route().targetMillis() - lead);
         long inTime = terms.deadlineNanos() - nanos(Selection.usualMillis(entry.call));
         line.add(new PendingRequest<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
-        entry.sink.onDispose(() -> line.leave(entry));
+        entry.sink.onDispose(() -> line.remove(entry));
         if (!looking) {
             looking = true;
             loop.after(LOOK_MILLIS, this::look);
@@ -146,7 +146,7 @@
             if (outcome instanceof Selection.Outcome.NoRoom) {
                 return;
             }
-            line.leave(entry);
+            line.remove(entry);
             line.placed(entry.call.terms().customer(), now);
             entry.sink.success(new Admitted.Through(outcome));
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
@@ -57,7 +57,7 @@
      *
      * @param item what it is known by
      */
-    public void leave(T item) {
+    public void remove(T item) {
         waiting.removeIf(each -> each.item().equals(item));
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -100,7 +100,7 @@
         refused += line.takeHopeless(nanos(now)).size();
         while (line.size() > 0 && under.size() < model.streamsWithin(TIMEOUT_MILLIS / 2)) {
             PendingRequest<Stream> next = line.next(nanos(now)).orElseThrow();
-            line.leave(next.item());
+            line.remove(next.item());
             line.placed(next.customer(), nanos(now));
             send(next.item());
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
@@ -50,7 +50,7 @@
         Map<String, Integer> served = new HashMap<>();
         for (int i = 0; i < 20; i++) {
             PendingRequest<String> next = line.next(SECOND).orElseThrow();
-            line.leave(next.item());
+            line.remove(next.item());
             line.placed(next.customer(), SECOND);
             served.merge(next.customer().equals("hot") ? "hot" : "small", 1, Integer::sum);
         }
@@ -92,7 +92,7 @@
         while (random.size() > 0) {
             PendingRequest<Integer> next = random.next(2 * SECOND).orElseThrow();
             order.add(next.item());
-            random.leave(next.item());
+            random.remove(next.item());
             random.placed(next.customer(), 2 * SECOND);
         }
         assertThat(order).hasSameSizeAs(priorities).doesNotHaveDuplicates();
@@ -104,7 +104,7 @@
         while (line.size() > 0) {
             PendingRequest<String> next = line.next(nowNanos).orElseThrow();
             order.add(next.item());
-            line.leave(next.item());
+            line.remove(next.item());
         }
         return order;
     }
