--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -138,10 +138,11 @@
     }
 
     private void letThrough(UpstreamQueue<Entry> line, long now) {
-        int allowed =
-                line.next(now).map(first -> partOfRoom(first.item().call, now)).orElse(0);
+        int allowed = line.peekNext(now)
+                .map(first -> partOfRoom(first.item().call, now))
+                .orElse(0);
         for (int i = 0; i < allowed && line.size() > 0; i++) {
-            Entry entry = line.next(now).orElseThrow().item();
+            Entry entry = line.peekNext(now).orElseThrow().item();
             Selection.Outcome outcome = selection.placeInRoom(entry.call, now);
             if (outcome instanceof Selection.Outcome.NoRoom) {
                 return;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
@@ -76,7 +76,7 @@
      * @param nowNanos the time
      * @return empty if nobody waits
      */
-    public Optional<PendingRequest<T>> next(long nowNanos) {
+    public Optional<PendingRequest<T>> peekNext(long nowNanos) {
         Comparator<PendingRequest<T>> order = Comparator.<PendingRequest<T>>comparingInt(PendingRequest::priority)
                 .thenComparing(each -> nowNanos > each.onTimeUntilNanos())
                 .thenComparingDouble(oldestNext ? each -> 0 : servedLately(nowNanos))
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -99,7 +99,7 @@
     private void letThrough(double now) {
         refused += line.takeHopeless(nanos(now)).size();
         while (line.size() > 0 && under.size() < model.streamsWithin(TIMEOUT_MILLIS / 2)) {
-            PendingRequest<Stream> next = line.next(nanos(now)).orElseThrow();
+            PendingRequest<Stream> next = line.peekNext(nanos(now)).orElseThrow();
             line.remove(next.item());
             line.placed(next.customer(), nanos(now));
             send(next.item());
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
@@ -49,7 +49,7 @@
         }
         Map<String, Integer> served = new HashMap<>();
         for (int i = 0; i < 20; i++) {
-            PendingRequest<String> next = line.next(SECOND).orElseThrow();
+            PendingRequest<String> next = line.peekNext(SECOND).orElseThrow();
             line.remove(next.item());
             line.placed(next.customer(), SECOND);
             served.merge(next.customer().equals("hot") ? "hot" : "small", 1, Integer::sum);
@@ -90,7 +90,7 @@
         }
         List<Integer> order = new ArrayList<>();
         while (random.size() > 0) {
-            PendingRequest<Integer> next = random.next(2 * SECOND).orElseThrow();
+            PendingRequest<Integer> next = random.peekNext(2 * SECOND).orElseThrow();
             order.add(next.item());
             random.remove(next.item());
             random.placed(next.customer(), 2 * SECOND);
@@ -102,7 +102,7 @@
     private List<String> serveAll(long nowNanos) {
         List<String> order = new ArrayList<>();
         while (line.size() > 0) {
-            PendingRequest<String> next = line.next(nowNanos).orElseThrow();
+            PendingRequest<String> next = line.peekNext(nowNanos).orElseThrow();
             order.add(next.item());
             line.remove(next.item());
         }
