--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -93,7 +93,7 @@
             if (line.size() == 0) {
                 Selection.Outcome outcome = selection.placeInRoom(call, now);
                 if (!(outcome instanceof Selection.Outcome.NoRoom)) {
-                    line.placed(call.terms().customer(), now);
+                    line.recordDispatch(call.terms().customer(), now);
                     return Mono.just(new Admitted.Through(outcome));
                 }
             }
@@ -148,7 +148,7 @@
                 return;
             }
             line.remove(entry);
-            line.placed(entry.call.terms().customer(), now);
+            line.recordDispatch(entry.call.terms().customer(), now);
             entry.sink.success(new Admitted.Through(outcome));
         }
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
@@ -96,7 +96,7 @@
      * @param customer whose it is
      * @param nowNanos the time
      */
-    public void placed(String customer, long nowNanos) {
+    public void recordDispatch(String customer, long nowNanos) {
         oldestNext = !oldestNext;
         placed = placedLately(nowNanos) + 1;
         placedNanos = nowNanos;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -101,7 +101,7 @@
         while (line.size() > 0 && under.size() < model.streamsWithin(TIMEOUT_MILLIS / 2)) {
             PendingRequest<Stream> next = line.peekNext(nanos(now)).orElseThrow();
             line.remove(next.item());
-            line.placed(next.customer(), nanos(now));
+            line.recordDispatch(next.customer(), nanos(now));
             send(next.item());
         }
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
@@ -51,7 +51,7 @@
         for (int i = 0; i < 20; i++) {
             PendingRequest<String> next = line.peekNext(SECOND).orElseThrow();
             line.remove(next.item());
-            line.placed(next.customer(), SECOND);
+            line.recordDispatch(next.customer(), SECOND);
             served.merge(next.customer().equals("hot") ? "hot" : "small", 1, Integer::sum);
         }
         assertThat(served.get("small")).isBetween(9, 10);
@@ -73,7 +73,7 @@
     void theWaitIsToldByHowManyLatelyLeft() {
         assertThat(line.waitMillis(0)).isZero();
         for (int i = 0; i < 400; i++) {
-            line.placed("c", i * SECOND / 10);
+            line.recordDispatch("c", i * SECOND / 10);
         }
         for (int i = 0; i < 30; i++) {
             line.add(waiter("w" + i, 2, "c", i));
@@ -93,7 +93,7 @@
             PendingRequest<Integer> next = random.peekNext(2 * SECOND).orElseThrow();
             order.add(next.item());
             random.remove(next.item());
-            random.placed(next.customer(), 2 * SECOND);
+            random.recordDispatch(next.customer(), 2 * SECOND);
         }
         assertThat(order).hasSameSizeAs(priorities).doesNotHaveDuplicates();
         assertThat(order.stream().map(priorities::get).toList()).isSorted();
