--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -97,7 +97,7 @@
                     return Mono.just(new Admitted.Through(outcome));
                 }
             }
-            if (line.waitMillis(now) > call.leftMillis(now) - Selection.usualMillis(call)) {
+            if (line.expectedWaitMillis(now) > call.leftMillis(now) - Selection.usualMillis(call)) {
                 return Mono.just(new Admitted.Refused(retryAfterMillis(line, now)));
             }
             return Mono.create(sink -> join(line, new Entry(call, sink)));
@@ -170,7 +170,7 @@
     }
 
     private long retryAfterMillis(UpstreamQueue<Entry> line, long now) {
-        double wait = Math.min(MOST_RETRY_MILLIS, Math.max(LEAST_RETRY_MILLIS, line.waitMillis(now)));
+        double wait = Math.min(MOST_RETRY_MILLIS, Math.max(LEAST_RETRY_MILLIS, line.expectedWaitMillis(now)));
         return (long) (wait * (1 - SPREAD / 2 + SPREAD * random.nextDouble()));
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
@@ -117,7 +117,7 @@
      * @param nowNanos the time
      * @return milliseconds
      */
-    public double waitMillis(long nowNanos) {
+    public double expectedWaitMillis(long nowNanos) {
         double perNano = placedLately(nowNanos) * Math.log(2) / HALF_LIFE_NANOS;
         double nanos = perNano == 0 ? HALF_LIFE_NANOS : waiting.size() / perNano;
         return waiting.isEmpty() ? 0 : nanos / NANOS_PER_MILLI;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
@@ -71,14 +71,14 @@
 
     @Test
     void theWaitIsToldByHowManyLatelyLeft() {
-        assertThat(line.waitMillis(0)).isZero();
+        assertThat(line.expectedWaitMillis(0)).isZero();
         for (int i = 0; i < 400; i++) {
             line.recordDispatch("c", i * SECOND / 10);
         }
         for (int i = 0; i < 30; i++) {
             line.add(waiter("w" + i, 2, "c", i));
         }
-        assertThat(line.waitMillis(40 * SECOND)).isCloseTo(3_000, within(300.0));
+        assertThat(line.expectedWaitMillis(40 * SECOND)).isCloseTo(3_000, within(300.0));
     }
 
     @Property(tries = 200, seed = "7")
