--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -128,7 +128,7 @@
     private void look() {
         long now = loop.nowNanos();
         for (UpstreamQueue<Entry> line : lines.values()) {
-            refuse(line, line.takeHopeless(now), now);
+            refuse(line, line.removeExpired(now), now);
             letThrough(line, now);
         }
         looking = lines.values().stream().anyMatch(line -> line.size() > 0);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
@@ -129,7 +129,7 @@
      * @param nowNanos the time
      * @return who is to be told so
      */
-    public List<PendingRequest<T>> takeHopeless(long nowNanos) {
+    public List<PendingRequest<T>> removeExpired(long nowNanos) {
         List<PendingRequest<T>> hopeless = waiting.stream()
                 .filter(each -> nowNanos > each.inTimeUntilNanos())
                 .toList();
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -97,7 +97,7 @@
     }
 
     private void letThrough(double now) {
-        refused += line.takeHopeless(nanos(now)).size();
+        refused += line.removeExpired(nanos(now)).size();
         while (line.size() > 0 && under.size() < model.streamsWithin(TIMEOUT_MILLIS / 2)) {
             PendingRequest<Stream> next = line.peekNext(nanos(now)).orElseThrow();
             line.remove(next.item());
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/UpstreamQueueTest.java
@@ -63,7 +63,7 @@
     void whatCannotEndInTimeIsTakenOut() {
         line.add(new PendingRequest<>("a", 2, "c", 0, SECOND, 2 * SECOND));
         line.add(new PendingRequest<>("b", 2, "c", 0, SECOND, 4 * SECOND));
-        assertThat(line.takeHopeless(3 * SECOND))
+        assertThat(line.removeExpired(3 * SECOND))
                 .extracting(PendingRequest::item)
                 .containsExactly("a");
         assertThat(line.size()).isEqualTo(1);
