--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -162,7 +162,7 @@
 
     /** The process takes nothing on any more: who waits is told to go elsewhere. */
     void close() {
-        lines.values().forEach(line -> refuse(line, line.takeAll(), loop.nowNanos()));
+        lines.values().forEach(line -> refuse(line, line.removeAll(), loop.nowNanos()));
     }
 
     private void refuse(UpstreamQueue<Entry> line, List<PendingRequest<Entry>> refused, long now) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
@@ -142,7 +142,7 @@
      *
      * @return who is to be told to go elsewhere
      */
-    public List<PendingRequest<T>> takeAll() {
+    public List<PendingRequest<T>> removeAll() {
         List<PendingRequest<T>> all = List.copyOf(waiting);
         waiting.clear();
         return all;
