--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -102,7 +102,7 @@
     }
 
     private boolean open(RateShare share, ShareHolders holders, long nowNanos) {
-        return holders.holds(entry.id(), share.holders(), nowNanos) && sent.open(share, nowNanos);
+        return holders.holds(entry.id(), share.holders(), nowNanos) && sent.allows(share, nowNanos);
     }
 
     /** Whether all processes together have seen it fail too often. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/SlidingWindowLog.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/SlidingWindowLog.java
@@ -20,7 +20,7 @@
      * @param nowNanos the time
      * @return false if the share of the window that ends now is used up
      */
-    public boolean open(RateShare share, long nowNanos) {
+    public boolean allows(RateShare share, long nowNanos) {
         long inWindow = sentNanos.stream()
                 .filter(sent -> nowNanos - sent < share.windowNanos())
                 .count();
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
@@ -45,7 +45,7 @@
         SlidingWindowLog window = new SlidingWindowLog();
         List<Long> sent = new ArrayList<>();
         for (long now = 0; now < 12 * SECOND; now += everyMillis * 1_000_000L) {
-            if (window.open(share, now)) {
+            if (window.allows(share, now)) {
                 window.sent(now);
                 sent.add(now);
             }
@@ -80,7 +80,7 @@
         for (int holder = 0; holder < share.holders(); holder++) {
             SlidingWindowLog window = new SlidingWindowLog();
             for (long now = random.nextInt(3_000) * SECOND / 1_000; now < 15 * SECOND; now += 20_000_000L) {
-                if (window.open(share, now)) {
+                if (window.allows(share, now)) {
                     window.sent(now);
                     all.add(now);
                 }
