--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -113,7 +113,7 @@
     }
 
     void begin(boolean isInteractive, double prefill, long nowNanos) {
-        sent.sent(nowNanos);
+        sent.recordRequest(nowNanos);
         inFlight++;
         interactive += isInteractive ? 1 : 0;
         prefillMillis += prefill;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/SlidingWindowLog.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/SlidingWindowLog.java
@@ -32,7 +32,7 @@
      *
      * @param nowNanos the time
      */
-    public void sent(long nowNanos) {
+    public void recordRequest(long nowNanos) {
         while (!sentNanos.isEmpty() && nowNanos - sentNanos.peekFirst() >= KEPT_NANOS) {
             sentNanos.removeFirst();
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
@@ -46,7 +46,7 @@
         List<Long> sent = new ArrayList<>();
         for (long now = 0; now < 12 * SECOND; now += everyMillis * 1_000_000L) {
             if (window.allows(share, now)) {
-                window.sent(now);
+                window.recordRequest(now);
                 sent.add(now);
             }
         }
@@ -81,7 +81,7 @@
             SlidingWindowLog window = new SlidingWindowLog();
             for (long now = random.nextInt(3_000) * SECOND / 1_000; now < 15 * SECOND; now += 20_000_000L) {
                 if (window.allows(share, now)) {
-                    window.sent(now);
+                    window.recordRequest(now);
                     all.add(now);
                 }
             }
