--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -243,7 +243,7 @@
         WorkerLimits limits = workers.limits();
         String before = describe(limits.limit(worker.incarnation()));
         boolean published = workers.started(worker.incarnation()).isPresent();
-        if (published && limits.said(worker.incarnation(), perSecond, nowNanos)) {
+        if (published && limits.updateFromWorker(worker.incarnation(), perSecond, nowNanos)) {
             audit.add(AuditEvent.Kind.LIMIT, worker.id(), "named in an answer", before, describe(perSecond));
         }
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
@@ -58,7 +58,7 @@
      * @param nowNanos the time
      * @return whether this is news
      */
-    public boolean said(int worker, OptionalDouble named, long nowNanos) {
+    public boolean updateFromWorker(int worker, OptionalDouble named, long nowNanos) {
         Word known = words.get(worker);
         if (known == null && named.isEmpty()) {
             return false;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void aWorkerThatNeverNamedALimitIsNoNews() {
-        assertThat(limits.said(WORKER, NONE, 0)).isFalse();
+        assertThat(limits.updateFromWorker(WORKER, NONE, 0)).isFalse();
         assertThat(limits.told(new LimitNotice(WORKER, NONE, 0), 0)).isFalse();
         assertThat(limits.takeNotices(0)).isEmpty();
     }
@@ -30,8 +30,8 @@
     @Test
     void newsIsToldThriceAndALimitOnceASecondAfterThat() {
         limits.takeNotices(0);
-        assertThat(limits.said(WORKER, LIMIT, 0)).isTrue();
-        assertThat(limits.said(WORKER, LIMIT, MILLI)).isFalse();
+        assertThat(limits.updateFromWorker(WORKER, LIMIT, 0)).isTrue();
+        assertThat(limits.updateFromWorker(WORKER, LIMIT, MILLI)).isFalse();
         int told = 0;
         for (long now = 0; now < SECOND; now += 100 * MILLI) {
             told += limits.takeNotices(now).isEmpty() ? 0 : 1;
@@ -53,8 +53,8 @@
 
     @Test
     void aPeerThatIsBehindIsToldAgain() {
-        limits.said(WORKER, LIMIT, 0);
-        limits.said(WORKER, NONE, SECOND);
+        limits.updateFromWorker(WORKER, LIMIT, 0);
+        limits.updateFromWorker(WORKER, NONE, SECOND);
         for (int i = 0; i < 5; i++) {
             limits.takeNotices(SECOND);
         }
@@ -67,7 +67,7 @@
 
     @Test
     void aNewPeerIsToldAtOnceWhichWorkersNameALimit() {
-        limits.said(WORKER, LIMIT, 0);
+        limits.updateFromWorker(WORKER, LIMIT, 0);
         for (int i = 0; i < 5; i++) {
             limits.takeNotices(MILLI);
         }
@@ -88,7 +88,7 @@
                 WorkerLimits process = fleet.get(random.nextInt(3));
                 OptionalDouble named = random.nextBoolean() ? NONE : OptionalDouble.of(1 + random.nextInt(3));
                 boolean counts = named.isPresent() || process.limit(WORKER).isPresent();
-                process.said(WORKER, named, now);
+                process.updateFromWorker(WORKER, named, now);
                 last = counts ? named : last;
             }
             exchange(fleet, underWay, random, now);
