--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -260,7 +260,7 @@
         workers.started(notice.worker()).ifPresent(worker -> {
             WorkerLimits limits = workers.limits();
             String before = describe(limits.limit(notice.worker()));
-            if (limits.told(notice, nowNanos)) {
+            if (limits.updateFromPeer(notice, nowNanos)) {
                 String id = worker.entry().id();
                 audit.add(AuditEvent.Kind.LIMIT, id, "told by " + peer, before, describe(notice.perSecond()));
             }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
@@ -76,7 +76,7 @@
      * @param nowNanos the time
      * @return whether this is news
      */
-    public boolean told(LimitNotice notice, long nowNanos) {
+    public boolean updateFromPeer(LimitNotice notice, long nowNanos) {
         Word word = new Word(notice.perSecond(), nowNanos - notice.agoMillis() * NANOS_PER_MILLI, TELL_TIMES);
         Word known = words.get(notice.worker());
         if (known == null) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
@@ -23,7 +23,7 @@
     @Test
     void aWorkerThatNeverNamedALimitIsNoNews() {
         assertThat(limits.updateFromWorker(WORKER, NONE, 0)).isFalse();
-        assertThat(limits.told(new LimitNotice(WORKER, NONE, 0), 0)).isFalse();
+        assertThat(limits.updateFromPeer(new LimitNotice(WORKER, NONE, 0), 0)).isFalse();
         assertThat(limits.takeNotices(0)).isEmpty();
     }
 
@@ -43,11 +43,15 @@
 
     @Test
     void theWorkersNewestWordCountsInWhicheverOrderNewsComes() {
-        assertThat(limits.told(new LimitNotice(WORKER, LIMIT, 100), SECOND)).isTrue();
-        assertThat(limits.told(new LimitNotice(WORKER, NONE, 500), SECOND)).isFalse();
+        assertThat(limits.updateFromPeer(new LimitNotice(WORKER, LIMIT, 100), SECOND))
+                .isTrue();
+        assertThat(limits.updateFromPeer(new LimitNotice(WORKER, NONE, 500), SECOND))
+                .isFalse();
         assertThat(limits.limit(WORKER)).isEqualTo(LIMIT);
-        assertThat(limits.told(new LimitNotice(WORKER, NONE, 20), SECOND)).isTrue();
-        assertThat(limits.told(new LimitNotice(WORKER, LIMIT, 50), SECOND)).isFalse();
+        assertThat(limits.updateFromPeer(new LimitNotice(WORKER, NONE, 20), SECOND))
+                .isTrue();
+        assertThat(limits.updateFromPeer(new LimitNotice(WORKER, LIMIT, 50), SECOND))
+                .isFalse();
         assertThat(limits.limit(WORKER)).isEmpty();
     }
 
@@ -59,7 +63,7 @@
             limits.takeNotices(SECOND);
         }
         assertThat(limits.takeNotices(SECOND)).isEmpty();
-        limits.told(new LimitNotice(WORKER, LIMIT, 3_000), 3 * SECOND);
+        limits.updateFromPeer(new LimitNotice(WORKER, LIMIT, 3_000), 3 * SECOND);
         assertThat(limits.takeNotices(3 * SECOND))
                 .singleElement()
                 .satisfies(notice -> assertThat(notice.perSecond()).isEmpty());
@@ -103,7 +107,7 @@
     private static void exchange(List<WorkerLimits> fleet, List<Message> underWay, Random random, long now) {
         underWay.stream()
                 .filter(message -> message.atNanos() <= now)
-                .forEach(message -> fleet.get(message.to()).told(message.notice(), now));
+                .forEach(message -> fleet.get(message.to()).updateFromPeer(message.notice(), now));
         underWay.removeIf(message -> message.atNanos() <= now);
         for (int from = 0; from < fleet.size(); from++) {
             for (LimitNotice notice : fleet.get(from).takeNotices(now)) {
