--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
@@ -137,7 +137,7 @@
     private void ended(WorkerState worker) {
         if (worker != null) {
             byIncarnation.remove(worker.incarnation());
-            limits.forget(worker.incarnation());
+            limits.remove(worker.incarnation());
         }
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
@@ -112,7 +112,7 @@
      *
      * @param worker its incarnation
      */
-    public void forget(int worker) {
+    public void remove(int worker) {
         words.remove(worker);
     }
 
