--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -159,7 +159,7 @@
             others = view.stream().filter(this::isOther).map(Member::name).toList();
             state.workers().fleet(peers.self(), others, now);
             state.quarantine().peersChanged();
-            state.workers().limits().peersChanged();
+            state.workers().limits().scheduleReminders();
         }
         state.processes(others.size() + 1);
         notices = new Notices(
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
@@ -117,7 +117,7 @@
     }
 
     /** A peer may have started: it is told with the next notices which workers name a limit. */
-    public void peersChanged() {
+    public void scheduleReminders() {
         remindSoon = true;
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
@@ -76,7 +76,7 @@
             limits.takeNotices(MILLI);
         }
         assertThat(limits.takeNotices(MILLI)).isEmpty();
-        limits.peersChanged();
+        limits.scheduleReminders();
         assertThat(limits.takeNotices(MILLI)).hasSize(1);
     }
 
