--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/BrokenAttempts.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/BrokenAttempts.java
@@ -50,12 +50,12 @@
 
     /** Whether a request may be sent to a worker. */
     Verdict verdict(Call call) {
-        return quarantine.empty() ? new Verdict.Allowed() : quarantine.verdict(call.fingerprint(), loop.nowNanos());
+        return quarantine.isEmpty() ? new Verdict.Allowed() : quarantine.verdict(call.fingerprint(), loop.nowNanos());
     }
 
     /** A request came to its end at a worker. */
     void finished(Call call) {
-        if (!quarantine.empty()) {
+        if (!quarantine.isEmpty()) {
             state.learn(new CrashNotice(call.fingerprint(), Ending.FINISHED, 0, 0, 0), loop.nowNanos());
         }
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
@@ -71,7 +71,7 @@
      *
      * @return true in the usual case
      */
-    public boolean empty() {
+    public boolean isEmpty() {
         return records.isEmpty();
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
@@ -90,9 +90,9 @@
     @Test
     void nothingIsKnownOfRequestsWhoseCrashesNoLongerCount() {
         crash(REQUEST, 1, START);
-        assertThat(quarantine.empty()).isFalse();
+        assertThat(quarantine.isEmpty()).isFalse();
         quarantine.takeNotices(START + COUNTED + 20 * SECOND);
-        assertThat(quarantine.empty()).isTrue();
+        assertThat(quarantine.isEmpty()).isTrue();
     }
 
     @Test
