--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -227,7 +227,7 @@
      * @param nowNanos the time
      */
     public void learn(CrashNotice notice, long nowNanos) {
-        if (quarantine.learn(notice, nowNanos)) {
+        if (quarantine.applyNotice(notice, nowNanos)) {
             audit.add(AuditEvent.Kind.QUARANTINE, notice.request().toString(), "workers crashed under it", "", "held");
         }
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
@@ -106,7 +106,7 @@
      * @param nowNanos the time
      * @return whether this put the request into quarantine
      */
-    public boolean learn(CrashNotice notice, long nowNanos) {
+    public boolean applyNotice(CrashNotice notice, long nowNanos) {
         long endedNanos = nowNanos - notice.agoMillis() * NANOS_PER_MILLI;
         CrashRecord known = records.get(notice.request());
         if (known == null && notice.ending() == Ending.FINISHED) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantinePropertyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantinePropertyTest.java
@@ -42,7 +42,7 @@
 
     private static RequestQuarantine learned(List<CrashNotice> notices) {
         RequestQuarantine quarantine = new RequestQuarantine();
-        notices.forEach(notice -> quarantine.learn(notice, NOW));
+        notices.forEach(notice -> quarantine.applyNotice(notice, NOW));
         return quarantine;
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
@@ -125,7 +125,7 @@
         }
         RequestQuarantine started = new RequestQuarantine();
         List<CrashNotice> reminders = quarantine.takeNotices(now);
-        reminders.forEach(notice -> started.learn(notice, now));
+        reminders.forEach(notice -> started.applyNotice(notice, now));
         assertThat(started.verdict(REQUEST, now)).isInstanceOf(Verdict.Quarantined.class);
     }
 
@@ -150,6 +150,6 @@
     }
 
     private void learn(CrashNotice notice, long nowNanos) {
-        quarantine.learn(notice, nowNanos);
+        quarantine.applyNotice(notice, nowNanos);
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/SimulatedFleet.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/SimulatedFleet.java
@@ -47,7 +47,8 @@
             return;
         }
         crashes++;
-        quarantine.learn(new CrashNotice(REQUEST, Ending.CRASHED_BEFORE_OUTPUT, crashes, RUN_MILLIS, 0), nowNanos);
+        quarantine.applyNotice(
+                new CrashNotice(REQUEST, Ending.CRASHED_BEFORE_OUTPUT, crashes, RUN_MILLIS, 0), nowNanos);
         if (crashes <= KNOWN_AFTER_CRASHES) {
             lastFreeCrashNanos = nowNanos;
         } else if (nowNanos - Math.max(lastFreeCrashNanos, startedNanos.get(process)) > KNOWN_WITHIN_NANOS) {
@@ -70,7 +71,7 @@
             boolean reached = receiver != sender && receiver != cutOff && sender != cutOff;
             if (reached && random.nextInt(3) > 0) {
                 RequestQuarantine process = processes.get(receiver);
-                notices.forEach(notice -> process.learn(notice, nowNanos));
+                notices.forEach(notice -> process.applyNotice(notice, nowNanos));
             }
         }
     }
