--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -158,7 +158,7 @@
                             plan.readers());
             others = view.stream().filter(this::isOther).map(Member::name).toList();
             state.workers().fleet(peers.self(), others, now);
-            state.quarantine().peersChanged();
+            state.quarantine().scheduleReminders();
             state.workers().limits().scheduleReminders();
         }
         state.processes(others.size() + 1);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
@@ -188,7 +188,7 @@
     }
 
     /** A peer may have started: it is told with the next notices what is held, before clients send it the same. */
-    public void peersChanged() {
+    public void scheduleReminders() {
         remindSoon = true;
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
@@ -137,7 +137,7 @@
             quarantine.takeNotices(START + 2 * SECOND);
         }
         assertThat(quarantine.takeNotices(START + 2 * SECOND)).isEmpty();
-        quarantine.peersChanged();
+        quarantine.scheduleReminders();
         assertThat(quarantine.takeNotices(START + 2 * SECOND)).hasSize(2);
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/SimulatedFleet.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/SimulatedFleet.java
@@ -80,7 +80,7 @@
     void restart(int process) {
         processes.set(process, new RequestQuarantine());
         startedNanos.set(process, nowNanos);
-        processes.forEach(RequestQuarantine::peersChanged);
+        processes.forEach(RequestQuarantine::scheduleReminders);
     }
 
     void restartAll() {
