--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -15,23 +15,26 @@
 import org.dotterelcourse.policy.cell.WorkerReport;
 
 /**
- * Places by expected finish, counted from the cell's own grants, which don't lag; reports only take room away that others
- * have used.
+ * Places each request on the worker with the earliest expected finish, computed from the cell's own grants, which are
+ * always up to date. Load reports lag and are used only to subtract capacity taken by requests that this cell did not
+ * grant.
  *
- * <p>Answers the load patterns of a slow worker, a hot prefix, a crash and late reports. Placing by reports alone sends
- * everybody to the worker that was free five seconds ago. Prefix affinity is rendezvous among the workers whose expected
- * finish is within {@link CellSettings#affinitySlack()} of the best, so that a hot prefix spreads over as many workers as
- * its load needs and no more. A slow worker counts for as much room as its speed is worth; one that crawls or fails is
- * ejected, at most a third of the cell at once, since a fault that all workers seem to have is more likely ours.
+ * <p>Answers these load patterns: a slow worker, a hot prefix, a worker crash and late load reports. Placement by load
+ * reports alone would send all requests to the worker that was idle five seconds ago. Prefix affinity is rendezvous
+ * hashing among the workers whose expected finish is within {@link CellSettings#affinitySlack()} of the best, so that a
+ * hot prefix spreads over as many workers as its load needs and no more. The capacity of a slow worker is reduced in
+ * proportion to its speed. A worker that fails, stops responding or is far slower than the others is ejected. At most a
+ * third of the cell is ejected at once, because a fault that all workers seem to have is more likely on this side.
  */
 public final class CellPlacement implements Placement {
-    private static final long COMPARE_EVERY_NANOS = 250_000_000L;
+    private static final long COMPARISON_INTERVAL_NANOS = 250_000_000L;
     private static final int TOKENS_PER_SAMPLE = 8;
 
-    /** A worker that has work is suspect after this silence if the others' is a quarter of it. */
-    private static final long SUSPECT_SILENCE_NANOS = 3_000_000_000L;
+    /** Minimum silence after which a worker with requests in flight can be suspect. */
+    private static final long MIN_SUSPECT_SILENCE_NANOS = 3_000_000_000L;
 
-    private static final int SILENCE_FACTOR = 4;
+    /** A worker is suspect only if it has been silent for more than this many times the median silence. */
+    private static final int SUSPECT_SILENCE_FACTOR = 4;
 
     private final CellSettings settings;
     private final Map<String, Worker> workers = new LinkedHashMap<>();
@@ -40,9 +43,9 @@
     private int slots;
 
     /**
-     * Makes a placement without workers.
+     * Creates a placement without workers.
      *
-     * @param settings the figures and the mechanisms in use
+     * @param settings the cell's parameters and enabled mechanisms
      */
     public CellPlacement(CellSettings settings) {
         this.settings = settings;
@@ -78,19 +81,20 @@
     }
 
     @Override
-    public Optional<String> place(PlacementRequest candidate, long nowNanos) {
-        List<Worker> free = new ArrayList<>(workers.size());
+    public Optional<String> place(PlacementRequest request, long nowNanos) {
+        List<Worker> eligible = new ArrayList<>(workers.size());
         Worker best = null;
         double bestFinish = Double.POSITIVE_INFINITY;
         for (Worker worker : workers.values()) {
-            if (!worker.hasRoomFor(candidate, nowNanos)) {
+            if (!worker.canAccept(request, nowNanos)) {
                 continue;
             }
             if (worker.health().isEjected()) {
+                // An ejected worker accepts a request only as a probe that is due.
                 return Optional.of(worker.name());
             }
-            free.add(worker);
-            double finish = worker.expectedFinish(candidate, nowNanos);
+            eligible.add(worker);
+            double finish = worker.expectedFinish(request, nowNanos);
             if (finish < bestFinish) {
                 best = worker;
                 bestFinish = finish;
@@ -99,24 +103,25 @@
         if (best == null) {
             return Optional.empty();
         }
-        long prefix = candidate.ask().prefix();
+        long prefix = request.ask().prefix();
         if (prefix == 0 || !settings.uses(Mechanism.PREFIX_AFFINITY)) {
             return Optional.of(best.name());
         }
-        return Optional.of(home(candidate, free, bestFinish, nowNanos).name());
+        return Optional.of(
+                selectByAffinity(request, eligible, bestFinish, nowNanos).name());
     }
 
     @Override
     public void recordGrant(RunningRequest running, long nowNanos) {
-        workers.computeIfAbsent(running.worker(), name -> unlisted(name, nowNanos))
+        workers.computeIfAbsent(running.worker(), name -> createUnlistedWorker(name, nowNanos))
                 .recordGrant(running, nowNanos);
     }
 
     @Override
-    public void recordProgress(RunningRequest running, int tokens, boolean becomesLong, long nowNanos) {
+    public void recordProgress(RunningRequest running, int outputTokens, boolean becomesLong, long nowNanos) {
         Worker worker = workers.get(running.worker());
         if (worker != null) {
-            worker.recordProgress(running, tokens, becomesLong, TOKENS_PER_SAMPLE, nowNanos);
+            worker.recordProgress(running, outputTokens, becomesLong, TOKENS_PER_SAMPLE, nowNanos);
         }
     }
 
@@ -126,10 +131,10 @@
         if (worker == null) {
             return;
         }
-        learn(worker, running, completion, nowNanos);
+        evaluateCompletion(worker, running, completion, nowNanos);
         worker.recordRelease(running, nowNanos);
-        eject(worker, nowNanos);
-        countSlots(nowNanos);
+        ejectIfUnhealthy(worker, nowNanos);
+        updateSlots(nowNanos);
     }
 
     @Override
@@ -142,18 +147,18 @@
         workers.values().removeIf(worker -> !byName.containsKey(worker.name()) && worker.isIdle());
         for (Worker worker : workers.values()) {
             if (!byName.containsKey(worker.name())) {
-                worker.goneFromList();
+                worker.markUnlisted();
             }
         }
         for (WorkerInfo info : byName.values()) {
-            Worker known = workers.get(info.name());
-            if (known == null) {
+            Worker existing = workers.get(info.name());
+            if (existing == null) {
                 workers.put(info.name(), new Worker(info, settings, nowNanos));
             } else {
-                known.publish(info);
+                existing.updateInfo(info);
             }
         }
-        countSlots(nowNanos);
+        updateSlots(nowNanos);
     }
 
     @Override
@@ -167,21 +172,21 @@
     @Override
     public void advance(long nowNanos) {
         for (Worker worker : workers.values()) {
-            worker.note(nowNanos);
+            worker.recordLoad(nowNanos);
         }
-        if (nowNanos - comparedNanos < COMPARE_EVERY_NANOS) {
+        if (nowNanos - comparedNanos < COMPARISON_INTERVAL_NANOS) {
             return;
         }
         comparedNanos = nowNanos;
-        compareSpeeds(nowNanos);
-        long usualSilence = usualSilence(nowNanos);
+        updateSlowFactors(nowNanos);
+        long medianSilence = medianSilenceNanos(nowNanos);
         for (Worker worker : workers.values()) {
-            if (isSuspect(worker, usualSilence, nowNanos)) {
-                rest(worker, nowNanos);
+            if (isSuspect(worker, medianSilence, nowNanos)) {
+                ejectWithinLimit(worker, nowNanos);
             }
-            eject(worker, nowNanos);
+            ejectIfUnhealthy(worker, nowNanos);
         }
-        countSlots(nowNanos);
+        updateSlots(nowNanos);
     }
 
     @Override
@@ -190,7 +195,7 @@
     }
 
     @Override
-    public List<String> ejected() {
+    public List<String> ejectedWorkers() {
         List<String> names = new ArrayList<>();
         for (Worker worker : workers.values()) {
             if (worker.health().isEjected()) {
@@ -201,119 +206,123 @@
     }
 
     /**
-     * A worker that only an adopted grant tells of: it has left the list, or the list hasn't come yet. It is counted from
-     * now on, else its room would be given out twice when the list shows it.
+     * Creates a worker that is referenced only by an adopted grant: it has left the published list, or the list has not
+     * arrived yet. Without this, its capacity would be granted a second time once the list contains it.
      */
-    private Worker unlisted(String name, long nowNanos) {
+    private Worker createUnlistedWorker(String name, long nowNanos) {
         Worker worker = new Worker(new WorkerInfo(name, "", 0, false), settings, nowNanos);
-        worker.goneFromList();
+        worker.markUnlisted();
         return worker;
     }
 
-    private Worker home(PlacementRequest candidate, List<Worker> free, double bestFinish, long nowNanos) {
-        double most = bestFinish * (1 + settings.affinitySlack());
-        Worker home = null;
-        long highest = 0;
-        for (Worker worker : free) {
-            long weight = worker.affinity(candidate.ask().prefix());
-            boolean higher = home == null || Long.compareUnsigned(weight, highest) > 0;
-            if (higher && worker.expectedFinish(candidate, nowNanos) <= most) {
-                home = worker;
-                highest = weight;
+    /** Selects the worker with the highest rendezvous weight among those that are fast enough. */
+    private Worker selectByAffinity(PlacementRequest request, List<Worker> eligible, double bestFinish, long nowNanos) {
+        double maxFinish = bestFinish * (1 + settings.affinitySlack());
+        Worker selected = null;
+        long maxWeight = 0;
+        for (Worker worker : eligible) {
+            long weight = worker.affinityWeight(request.ask().prefix());
+            boolean higher = selected == null || Long.compareUnsigned(weight, maxWeight) > 0;
+            if (higher && worker.expectedFinish(request, nowNanos) <= maxFinish) {
+                selected = worker;
+                maxWeight = weight;
             }
         }
-        return home;
+        return selected;
     }
 
-    private void learn(Worker worker, RunningRequest running, Completion completion, long nowNanos) {
+    private void evaluateCompletion(Worker worker, RunningRequest running, Completion completion, long nowNanos) {
         switch (completion.end()) {
             case ANSWERED -> {
-                worker.heard(nowNanos);
-                sampleWhole(worker, running, completion, nowNanos);
-                worker.health().succeeded(worker.concurrency());
+                worker.recordActivity(nowNanos);
+                sampleWholeResponse(worker, running, completion, nowNanos);
+                worker.health().recordSuccess(worker.concurrency());
             }
-            case FAILED, UNREACHABLE -> worker.health().failed();
-            case REFUSED -> worker.full(nowNanos);
-            case LEAVING -> worker.leave();
+            case FAILED, UNREACHABLE -> worker.health().recordFailure();
+            case REFUSED -> worker.markFull(nowNanos);
+            case LEAVING -> worker.markLeaving();
             default -> {
                 // A cancelled request says nothing about the worker.
             }
         }
     }
 
-    /** A plain service's answer, or one whose progress nobody told, is one sample as a whole. */
-    private static void sampleWhole(Worker worker, RunningRequest running, Completion completion, long nowNanos) {
+    /** Takes one sample from a response without reported progress, such as that of a plain service. */
+    private static void sampleWholeResponse(
+            Worker worker, RunningRequest running, Completion completion, long nowNanos) {
         if (running.hasOutput() || completion.durationNanos() <= 0) {
             return;
         }
         boolean hasTokens = completion.outputTokens() > 1 && completion.firstTokenNanos() >= 0;
-        double perToken = hasTokens
+        double perTokenNanos = hasTokens
                 ? (double) (completion.durationNanos() - completion.firstTokenNanos()) / (completion.outputTokens() - 1)
                 : completion.durationNanos();
-        worker.health().sample(worker.atEmptyBatch(perToken), nowNanos);
+        worker.health().addSample(worker.normalizeToEmptyBatch(perTokenNanos), nowNanos);
     }
 
-    private void compareSpeeds(long nowNanos) {
-        double[] known = new double[workers.size()];
+    /** Compares each worker's median time per token with the median of the cell. */
+    private void updateSlowFactors(long nowNanos) {
+        double[] medians = new double[workers.size()];
         int count = 0;
         for (Worker worker : workers.values()) {
-            double median = worker.health().median(nowNanos);
+            double median = worker.health().medianMicros(nowNanos);
             if (median > 0) {
-                known[count++] = median;
+                medians[count++] = median;
             }
         }
         if (count < 2) {
             return;
         }
-        Arrays.sort(known, 0, count);
-        double cellMedian = known[(count - 1) / 2];
+        Arrays.sort(medians, 0, count);
+        double cellMedian = medians[(count - 1) / 2];
         for (Worker worker : workers.values()) {
-            worker.health().compare(worker.health().median(nowNanos), cellMedian);
+            worker.health().updateSlowFactor(worker.health().medianMicros(nowNanos), cellMedian);
         }
     }
 
-    private long usualSilence(long nowNanos) {
+    /** Returns the median silence of the workers with requests in flight; effectively infinite for fewer than two. */
+    private long medianSilenceNanos(long nowNanos) {
         long[] silences = new long[workers.size()];
         int count = 0;
         for (Worker worker : workers.values()) {
             if (!worker.isIdle()) {
-                silences[count++] = worker.silentNanos(nowNanos);
+                silences[count++] = worker.silenceNanos(nowNanos);
             }
         }
         if (count < 2) {
-            return Long.MAX_VALUE / SILENCE_FACTOR;
+            return Long.MAX_VALUE / SUSPECT_SILENCE_FACTOR;
         }
         Arrays.sort(silences, 0, count);
         return silences[(count - 1) / 2];
     }
 
-    private static boolean isSuspect(Worker worker, long usualSilence, long nowNanos) {
-        long silence = worker.silentNanos(nowNanos);
-        return silence > SUSPECT_SILENCE_NANOS
-                && silence > SILENCE_FACTOR * usualSilence
-                && !worker.health().isResting(nowNanos);
+    private static boolean isSuspect(Worker worker, long medianSilence, long nowNanos) {
+        long silence = worker.silenceNanos(nowNanos);
+        return silence > MIN_SUSPECT_SILENCE_NANOS
+                && silence > SUSPECT_SILENCE_FACTOR * medianSilence
+                && !worker.health().isBackingOff(nowNanos);
     }
 
-    private void eject(Worker worker, long nowNanos) {
+    private void ejectIfUnhealthy(Worker worker, long nowNanos) {
         WorkerHealth health = worker.health();
-        boolean again = health.probeFailed() && !health.isResting(nowNanos);
-        boolean first = !health.isEjected() && health.shouldRest();
+        boolean again = health.hasFailedProbe() && !health.isBackingOff(nowNanos);
+        boolean first = !health.isEjected() && health.shouldEject();
         if (again || first) {
-            rest(worker, nowNanos);
+            ejectWithinLimit(worker, nowNanos);
         }
     }
 
-    private void rest(Worker worker, long nowNanos) {
+    private void ejectWithinLimit(Worker worker, long nowNanos) {
         if (!settings.uses(Mechanism.EJECTION)) {
             return;
         }
-        int most = (int) (workers.size() * settings.maxEjectedFraction());
-        if (worker.health().isEjected() || ejected().size() < most) {
+        int maxEjected = (int) (workers.size() * settings.maxEjectedFraction());
+        if (worker.health().isEjected() || ejectedWorkers().size() < maxEjected) {
             worker.health().eject(nowNanos);
         }
     }
 
-    private void countSlots(long nowNanos) {
+    private void updateSlots(long nowNanos) {
         slots = 0;
         for (Worker worker : workers.values()) {
             slots += worker.slots(nowNanos);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/LoadHistory.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/LoadHistory.java
@@ -3,44 +3,47 @@
 import java.util.Arrays;
 
 /**
- * How many of the cell's own grants a worker had at past times, so that an old report can be compared with what was
- * granted when it was true. Each slot keeps the most within a quarter of a second.
+ * Ring buffer of a worker's recent number of grants from this cell, so that a late load report can be compared with the
+ * number at the time of its measurement. Each bucket holds the maximum over a quarter of a second.
  */
 final class LoadHistory {
-    private static final long SLOT_NANOS = 250_000_000L;
-    private static final int SLOTS = 80;
+    private static final long BUCKET_NANOS = 250_000_000L;
+    private static final int BUCKETS = 80;
 
-    /** Grants reach a worker, and leave it, some time after they are counted here; neighbours are looked at too. */
-    private static final int NEIGHBOURS = 2;
+    /**
+     * Buckets to search on each side of the requested time, because a grant reaches the worker, and leaves it, some
+     * time after it is counted here.
+     */
+    private static final int ADJACENT_BUCKETS = 2;
 
-    private final int[] most = new int[SLOTS];
-    private final long[] slotOf = new long[SLOTS];
+    private final int[] maxima = new int[BUCKETS];
+    private final long[] bucketNumbers = new long[BUCKETS];
 
     LoadHistory() {
-        Arrays.fill(slotOf, Long.MIN_VALUE);
+        Arrays.fill(bucketNumbers, Long.MIN_VALUE);
     }
 
-    void note(int running, long nowNanos) {
-        long slot = Math.floorDiv(nowNanos, SLOT_NANOS);
-        int index = (int) Math.floorMod(slot, (long) SLOTS);
-        if (slotOf[index] == slot) {
-            most[index] = Math.max(most[index], running);
+    void record(int grants, long nowNanos) {
+        long bucket = Math.floorDiv(nowNanos, BUCKET_NANOS);
+        int index = (int) Math.floorMod(bucket, (long) BUCKETS);
+        if (bucketNumbers[index] == bucket) {
+            maxima[index] = Math.max(maxima[index], grants);
         } else {
-            slotOf[index] = slot;
-            most[index] = running;
+            bucketNumbers[index] = bucket;
+            maxima[index] = grants;
         }
     }
 
-    /** The most grants around a past time, or -1 if that isn't known any more. */
-    int mostAround(long thenNanos) {
-        long middle = Math.floorDiv(thenNanos, SLOT_NANOS);
-        int found = -1;
-        for (long slot = middle - NEIGHBOURS; slot <= middle + NEIGHBOURS; slot++) {
-            int index = (int) Math.floorMod(slot, (long) SLOTS);
-            if (slotOf[index] == slot) {
-                found = Math.max(found, most[index]);
+    /** Returns the maximum number of grants around a past time, or -1 if nothing is recorded for that time. */
+    int maxAround(long timeNanos) {
+        long middle = Math.floorDiv(timeNanos, BUCKET_NANOS);
+        int max = -1;
+        for (long bucket = middle - ADJACENT_BUCKETS; bucket <= middle + ADJACENT_BUCKETS; bucket++) {
+            int index = (int) Math.floorMod(bucket, (long) BUCKETS);
+            if (bucketNumbers[index] == bucket) {
+                max = Math.max(max, maxima[index]);
             }
         }
-        return found;
+        return max;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -8,103 +8,105 @@
 import org.dotterelcourse.policy.cell.WorkerInfo;
 import org.dotterelcourse.policy.cell.WorkerReport;
 
-/** Chooses workers. Not safe for use by several threads at once. */
+/** Chooses workers for the requests of a cell and tracks what runs on them. Implementations are not thread-safe. */
 public interface Placement {
     /**
-     * Whether any worker may take a request now.
+     * Checks whether any worker has a free slot.
      *
-     * @param nowNanos the time
-     * @return whether one may
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return whether at least one worker can accept a request
      */
     boolean hasCapacity(long nowNanos);
 
     /**
-     * Whether any worker could ever take the request.
+     * Checks whether any worker could serve the request once it has a free slot.
      *
      * @param ask the request
-     * @return whether one could; true as long as no list of workers has been published
+     * @return whether a worker is neither leaving nor excluded for the request; always true until the first list of
+     *     workers has been published
      */
     boolean canServe(Ask ask);
 
     /**
-     * Whether a worker may take a request once something on it has made way.
+     * Checks whether a worker could serve the request after one of its running requests has been preempted.
      *
      * @param worker the worker's name
      * @param ask the request
-     * @return whether it may
+     * @return whether the worker is neither leaving, ejected nor excluded for the request; false for an unknown worker
      */
     boolean isUsable(String worker, Ask ask);
 
     /**
-     * Chooses a worker.
+     * Chooses a worker for a request. The caller reports the grant by {@link #recordGrant}.
      *
-     * @param candidate the request
-     * @param nowNanos the time
-     * @return the worker's name, or empty if none has room for it
+     * @param request the request with its estimates
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return the worker's name, or empty if no worker can accept the request now
      */
-    Optional<String> place(PlacementRequest candidate, long nowNanos);
+    Optional<String> place(PlacementRequest request, long nowNanos);
 
     /**
-     * A request was granted a worker.
+     * Records that a request was granted to a worker.
      *
-     * @param running the request
-     * @param nowNanos the time
+     * @param running the granted request
+     * @param nowNanos the current monotonic time in nanoseconds
      */
     void recordGrant(RunningRequest running, long nowNanos);
 
     /**
-     * A request makes progress.
+     * Records the progress of a granted request.
      *
-     * @param running the request
-     * @param tokens tokens of its answer so far
-     * @param becomesLong whether it counts as long from now on
-     * @param nowNanos the time
+     * @param running the granted request
+     * @param outputTokens number of output tokens received so far
+     * @param becomesLong whether the request counts as long from now on
+     * @param nowNanos the current monotonic time in nanoseconds
      */
-    void recordProgress(RunningRequest running, int tokens, boolean becomesLong, long nowNanos);
+    void recordProgress(RunningRequest running, int outputTokens, boolean becomesLong, long nowNanos);
 
     /**
-     * A request has left its worker.
+     * Records that a granted request has ended and no longer occupies its worker.
      *
-     * @param running the request
-     * @param completion what was seen
-     * @param nowNanos the time
+     * @param running the granted request
+     * @param completion how the request ended, with its observed times
+     * @param nowNanos the current monotonic time in nanoseconds
      */
     void recordRelease(RunningRequest running, Completion completion, long nowNanos);
 
     /**
-     * The list of workers was published.
+     * Replaces the list of workers.
      *
-     * @param published all workers of the cell
-     * @param nowNanos the time
+     * @param published all workers that are published for the cell
+     * @param nowNanos the current monotonic time in nanoseconds
      */
     void updateWorkers(List<WorkerInfo> published, long nowNanos);
 
     /**
-     * A load report has come.
+     * Records a worker's load report.
      *
-     * @param report the report
-     * @param nowNanos the time
+     * @param report the report; ignored if its worker is unknown
+     * @param nowNanos the current monotonic time in nanoseconds
      */
     void recordReport(WorkerReport report, long nowNanos);
 
     /**
-     * Time has passed.
+     * Runs the periodic comparison of workers and the ejections that follow from it.
      *
-     * @param nowNanos the time
+     * @param nowNanos the current monotonic time in nanoseconds
      */
     void advance(long nowNanos);
 
     /**
-     * How many requests the workers run at once.
+     * Returns the number of requests that all workers together can run concurrently.
      *
-     * @return the number, without workers that are leaving or ejected
+     * @return the number of slots at the last update; leaving workers and ejected workers that are not probed yet count
+     *     as 0, and workers being probed count with their probe limit
      */
     int slots();
 
     /**
-     * The workers that are ejected.
+     * Returns the ejected workers, including those being probed.
      *
-     * @return their names
+     * @return the workers' names
      */
-    List<String> ejected();
+    List<String> ejectedWorkers();
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/PlacementRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/PlacementRequest.java
@@ -3,11 +3,11 @@
 import org.dotterelcourse.policy.cell.Ask;
 
 /**
- * A request that looks for a worker.
+ * A request to be placed on a worker, with the estimates that placement needs.
  *
  * @param ask the request
- * @param prefillWork the work of its prompt, in output tokens
- * @param expectedOutput tokens that its answer is expected to have
- * @param isLong whether it counts against the room for long requests
+ * @param prefillWork estimated cost of processing the prompt, in units of one output token
+ * @param expectedOutputTokens expected number of output tokens that are still to be generated
+ * @param isLong whether the request counts towards a worker's limit on long requests
  */
-public record PlacementRequest(Ask ask, double prefillWork, double expectedOutput, boolean isLong) {}
+public record PlacementRequest(Ask ask, double prefillWork, double expectedOutputTokens, boolean isLong) {}
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
@@ -2,67 +2,68 @@
 
 import org.dotterelcourse.policy.cell.Ask;
 
-/** A granted request and what has been seen of it. */
+/** A request that was granted to a worker, with its observed progress. */
 public final class RunningRequest {
     private final long grant;
-    private final PlacementRequest candidate;
+    private final PlacementRequest placementRequest;
     private final String worker;
-    private final boolean owed;
+    private final boolean isMinimumShareGrant;
     private final long grantedNanos;
     private boolean isLong;
-    private int tokens;
-    private int sampledTokens;
-    private long sampledNanos;
+    private int outputTokens;
+    private int lastSampleTokens;
+    private long lastSampleNanos;
 
     /**
-     * Makes a request that has just been granted.
+     * Creates the state of a request that has just been granted.
      *
-     * @param grant the grant's number
-     * @param candidate the request
-     * @param worker the worker's name
-     * @param owed whether it was served because of its class's minimum share
-     * @param nowNanos the time
+     * @param grant the grant's number, unique within its scheduler
+     * @param placementRequest the request with its estimates at the time of the grant
+     * @param worker the name of the worker that serves the request
+     * @param isMinimumShareGrant whether it was granted to keep the minimum share of its class
+     * @param nowNanos the current monotonic time in nanoseconds
      */
-    public RunningRequest(long grant, PlacementRequest candidate, String worker, boolean owed, long nowNanos) {
+    public RunningRequest(
+            long grant, PlacementRequest placementRequest, String worker, boolean isMinimumShareGrant, long nowNanos) {
         this.grant = grant;
-        this.candidate = candidate;
+        this.placementRequest = placementRequest;
         this.worker = worker;
-        this.owed = owed;
+        this.isMinimumShareGrant = isMinimumShareGrant;
         this.grantedNanos = nowNanos;
-        this.isLong = candidate.isLong();
-        this.tokens = candidate.ask().resumedTokens();
-        this.sampledNanos = -1;
+        this.isLong = placementRequest.isLong();
+        this.outputTokens = placementRequest.ask().resumedTokens();
+        this.lastSampleNanos = -1;
     }
 
     /**
-     * The grant's number.
+     * Returns the number of the grant.
      *
-     * @return the number
+     * @return the number, unique within its scheduler
      */
     public long grant() {
         return grant;
     }
 
     /**
-     * The request.
+     * Returns the request itself.
      *
-     * @return the ask
+     * @return the request
      */
     public Ask ask() {
-        return candidate.ask();
+        return placementRequest.ask();
     }
 
     /**
-     * The request as it looked for a worker.
+     * Returns the request with its estimates at the time of the grant.
      *
-     * @return the candidate
+     * @return the request that was placed
      */
     public PlacementRequest placementRequest() {
-        return candidate;
+        return placementRequest;
     }
 
     /**
-     * The worker that has it.
+     * Returns the worker that serves the request.
      *
      * @return the worker's name
      */
@@ -71,63 +72,67 @@
     }
 
     /**
-     * Whether it was served because of its class's minimum share.
+     * Returns whether the request was granted to keep the minimum share of its class.
      *
-     * @return whether it was
+     * @return whether it used the minimum share
      */
     public boolean isMinimumShareGrant() {
-        return owed;
+        return isMinimumShareGrant;
     }
 
     /**
-     * When it was granted.
+     * Returns the time of the grant.
      *
-     * @return nanoseconds
+     * @return monotonic time in nanoseconds
      */
     public long grantedNanos() {
         return grantedNanos;
     }
 
     /**
-     * Tokens of the answer so far, with those that it was resumed from.
+     * Returns the number of output tokens so far, including those from before the request was resumed.
      *
-     * @return the number
+     * @return the number of tokens
      */
     public int outputTokens() {
-        return tokens;
+        return outputTokens;
     }
 
     /**
-     * Whether any token has come from this grant.
+     * Returns whether this grant has produced any output token.
      *
-     * @return whether one has
+     * @return whether there are more output tokens than the request was resumed from
      */
     public boolean hasOutput() {
-        return tokens > ask().resumedTokens();
+        return outputTokens > ask().resumedTokens();
     }
 
     boolean isLong() {
         return isLong;
     }
 
-    void becomeLong() {
+    void markLong() {
         isLong = true;
     }
 
-    /** Notes tokens; returns the time per token since the last sample, or -1 if it is too early for one. */
-    long progress(int newTokens, int tokensPerSample, long nowNanos) {
-        tokens = Math.max(tokens, newTokens);
-        if (sampledNanos < 0) {
-            sampledTokens = tokens;
-            sampledNanos = nowNanos;
+    /**
+     * Records the number of output tokens.
+     *
+     * @return the time per token since the last sample in nanoseconds, or -1 if too few tokens have arrived since
+     */
+    long recordTokens(int newOutputTokens, int tokensPerSample, long nowNanos) {
+        outputTokens = Math.max(outputTokens, newOutputTokens);
+        if (lastSampleNanos < 0) {
+            lastSampleTokens = outputTokens;
+            lastSampleNanos = nowNanos;
             return -1;
         }
-        if (tokens - sampledTokens < tokensPerSample) {
+        if (outputTokens - lastSampleTokens < tokensPerSample) {
             return -1;
         }
-        long perToken = (nowNanos - sampledNanos) / (tokens - sampledTokens);
-        sampledTokens = tokens;
-        sampledNanos = nowNanos;
-        return perToken;
+        long perTokenNanos = (nowNanos - lastSampleNanos) / (outputTokens - lastSampleTokens);
+        lastSampleTokens = outputTokens;
+        lastSampleNanos = nowNanos;
+        return perTokenNanos;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -11,9 +11,9 @@
 import org.dotterelcourse.policy.cell.WorkerInfo;
 import org.dotterelcourse.policy.cell.WorkerReport;
 
-/** What is known of one worker: its grants, which are the truth, and its reports, which lag. */
+/** State of one worker: this cell's grants, which are exact, and the worker's load reports, which lag. */
 final class Worker {
-    /** After a refusal the worker is taken as full for so long: about the time of a short answer. */
+    /** Time for which a worker counts as full after it refused a request: about the duration of a short response. */
     private static final long FULL_AFTER_REFUSAL_NANOS = 500_000_000L;
 
     private final CellSettings settings;
@@ -22,21 +22,21 @@
     private final Map<Long, RunningRequest> grants = new LinkedHashMap<>();
     private final long nameHash;
     private WorkerInfo info;
-    private boolean saysLeaving;
-    private boolean isGone;
-    private int longRunning;
+    private boolean reportedLeaving;
+    private boolean isUnlisted;
+    private int longRequests;
     private double pendingPrefill;
-    private int foreign;
+    private int foreignRequests;
     private long reportNanos = Long.MIN_VALUE;
     private long fullUntilNanos = Long.MIN_VALUE;
-    private long heardNanos;
+    private long lastActivityNanos;
 
     Worker(WorkerInfo info, CellSettings settings, long nowNanos) {
         this.info = info;
         this.settings = settings;
         this.health = new WorkerHealth(settings);
         this.nameHash = Hashing.komihash5_0().hashCharsToLong(info.name());
-        this.heardNanos = nowNanos;
+        this.lastActivityNanos = nowNanos;
     }
 
     String name() {
@@ -48,42 +48,46 @@
     }
 
     /**
-     * Takes over what the list says. A worker that said that it leaves is believed until the list has shown it leaving, or
-     * gone, and then back: the list lags, and would give a leaving worker new work.
+     * Updates the worker from the published list. A worker that announced that it is leaving counts as leaving until
+     * the list has shown it as leaving or absent, and then as present again. The list lags: without this rule, a
+     * leaving worker would get new requests.
      */
-    void publish(WorkerInfo published) {
-        if ((info.leaving() || isGone) && !published.leaving()) {
-            saysLeaving = false;
+    void updateInfo(WorkerInfo published) {
+        if ((info.leaving() || isUnlisted) && !published.leaving()) {
+            reportedLeaving = false;
         }
-        isGone = false;
+        isUnlisted = false;
         info = published;
     }
 
-    /** The list shows the worker no more; it is kept until its last grant ends, so that its room isn't counted twice. */
-    void goneFromList() {
-        isGone = true;
-        saysLeaving = true;
+    /**
+     * Marks the worker as absent from the published list. It is kept until its last grant ends, so that its capacity is
+     * not counted twice.
+     */
+    void markUnlisted() {
+        isUnlisted = true;
+        reportedLeaving = true;
     }
 
-    void leave() {
-        saysLeaving = true;
+    void markLeaving() {
+        reportedLeaving = true;
     }
 
     boolean isLeaving() {
-        return info.leaving() || saysLeaving;
+        return info.leaving() || reportedLeaving;
     }
 
     boolean isIdle() {
         return grants.isEmpty();
     }
 
-    /** How many requests the worker may have: fewer when it is slow, and when it is being probed. */
+    /** Returns how many requests the worker may run concurrently: fewer if it is slow or being probed. */
     int slots(long nowNanos) {
-        if (isLeaving() || health.isResting(nowNanos)) {
+        if (isLeaving() || health.isBackingOff(nowNanos)) {
             return 0;
         }
         if (health.isEjected()) {
-            return Math.min(health.allowance(), info.concurrency());
+            return Math.min(health.probeLimit(), info.concurrency());
         }
         if (!settings.uses(Mechanism.STRAGGLER_WEIGHT)) {
             return info.concurrency();
@@ -92,62 +96,63 @@
     }
 
     boolean hasCapacity(long nowNanos) {
-        return nowNanos >= fullUntilNanos && grants.size() + foreign(nowNanos) < slots(nowNanos);
+        return nowNanos >= fullUntilNanos && grants.size() + foreignRequests(nowNanos) < slots(nowNanos);
     }
 
-    boolean hasRoomFor(PlacementRequest candidate, long nowNanos) {
-        if (!hasCapacity(nowNanos) || isExcludedFor(candidate.ask())) {
+    boolean canAccept(PlacementRequest request, long nowNanos) {
+        if (!hasCapacity(nowNanos) || isExcludedFor(request.ask())) {
             return false;
         }
-        if (health.isEjected() && !mayProbe(candidate.ask())) {
+        if (health.isEjected() && !isEligibleAsProbe(request.ask())) {
             return false;
         }
-        if (!candidate.isLong() || !settings.uses(Mechanism.LONG_JOB_CAP)) {
+        if (!request.isLong() || !settings.uses(Mechanism.LONG_JOB_CAP)) {
             return true;
         }
-        return longRunning < Math.max(1, (int) (settings.longJobShare() * info.concurrency()));
+        return longRequests < Math.max(1, (int) (settings.longJobShare() * info.concurrency()));
     }
 
     boolean isUsable(Ask ask) {
         return !isLeaving() && !health.isEjected() && !isExcludedFor(ask);
     }
 
-    /** A rough expected time to finish, in steps of an empty worker. */
-    double expectedFinish(PlacementRequest candidate, long nowNanos) {
-        double load = (double) (grants.size() + foreign(nowNanos)) / Math.max(1, info.concurrency());
-        double decode = candidate.expectedOutput() * (1 + settings.batchSlowdown() * load);
-        double slow = settings.uses(Mechanism.STRAGGLER_WEIGHT) ? health.slowFactor() : 1;
-        return slow * (pendingPrefill + candidate.prefillWork() + decode);
+    /** Returns a rough estimate of the time to finish the request, in decode steps of an empty worker. */
+    double expectedFinish(PlacementRequest request, long nowNanos) {
+        double load = (double) (grants.size() + foreignRequests(nowNanos)) / Math.max(1, info.concurrency());
+        double decode = request.expectedOutputTokens() * (1 + settings.batchSlowdown() * load);
+        double slowFactor = settings.uses(Mechanism.STRAGGLER_WEIGHT) ? health.slowFactor() : 1;
+        return slowFactor * (pendingPrefill + request.prefillWork() + decode);
     }
 
-    /** The rendezvous weight of the worker for a prefix. */
-    long affinity(long prefix) {
+    /** Returns the rendezvous hashing weight of the worker for a prefix. */
+    long affinityWeight(long prefix) {
         return Hashing.komihash5_0().hashLongLongToLong(prefix, nameHash);
     }
 
     void recordGrant(RunningRequest running, long nowNanos) {
-        history.note(grants.size(), nowNanos);
+        history.record(grants.size(), nowNanos);
         if (grants.isEmpty()) {
-            heardNanos = nowNanos;
+            lastActivityNanos = nowNanos;
         }
         grants.put(running.grant(), running);
-        history.note(grants.size(), nowNanos);
+        history.record(grants.size(), nowNanos);
         pendingPrefill += running.placementRequest().prefillWork();
-        longRunning += running.isLong() ? 1 : 0;
+        longRequests += running.isLong() ? 1 : 0;
     }
 
-    void recordProgress(RunningRequest running, int tokens, boolean becomesLong, int tokensPerSample, long nowNanos) {
-        heardNanos = nowNanos;
-        if (!running.hasOutput() && tokens > running.ask().resumedTokens()) {
-            endPrefill(running);
+    void recordProgress(
+            RunningRequest running, int outputTokens, boolean becomesLong, int tokensPerSample, long nowNanos) {
+        lastActivityNanos = nowNanos;
+        if (!running.hasOutput() && outputTokens > running.ask().resumedTokens()) {
+            subtractPrefill(running);
         }
         if (becomesLong && !running.isLong()) {
-            running.becomeLong();
-            longRunning++;
+            running.markLong();
+            longRequests++;
         }
-        long perToken = running.progress(tokens, tokensPerSample, nowNanos);
-        if (perToken > 0) {
-            health.sample(atEmptyBatch(perToken), nowNanos);
+        long perTokenNanos = running.recordTokens(outputTokens, tokensPerSample, nowNanos);
+        if (perTokenNanos > 0) {
+            health.addSample(normalizeToEmptyBatch(perTokenNanos), nowNanos);
         }
     }
 
@@ -155,42 +160,42 @@
         if (grants.remove(running.grant()) == null) {
             return;
         }
-        history.note(grants.size(), nowNanos);
-        longRunning -= running.isLong() ? 1 : 0;
+        history.record(grants.size(), nowNanos);
+        longRequests -= running.isLong() ? 1 : 0;
         if (!running.hasOutput()) {
-            endPrefill(running);
+            subtractPrefill(running);
         }
     }
 
-    void heard(long nowNanos) {
-        heardNanos = nowNanos;
+    void recordActivity(long nowNanos) {
+        lastActivityNanos = nowNanos;
     }
 
-    /** How long nothing has come from a worker that has work. */
-    long silentNanos(long nowNanos) {
-        return grants.isEmpty() ? 0 : nowNanos - heardNanos;
+    /** Returns the time since the last activity of a worker with requests in flight, in nanoseconds; 0 if idle. */
+    long silenceNanos(long nowNanos) {
+        return grants.isEmpty() ? 0 : nowNanos - lastActivityNanos;
     }
 
-    void full(long nowNanos) {
+    void markFull(long nowNanos) {
         fullUntilNanos = nowNanos + FULL_AFTER_REFUSAL_NANOS;
     }
 
-    void note(long nowNanos) {
-        history.note(grants.size(), nowNanos);
+    void recordLoad(long nowNanos) {
+        history.record(grants.size(), nowNanos);
     }
 
-    /** Learns from a report how many requests the worker has that this cell didn't grant. */
+    /** Derives from a load report how many requests on the worker were not granted by this cell. */
     void recordReport(WorkerReport report) {
         if (report.measuredNanos() <= reportNanos) {
             return;
         }
         reportNanos = report.measuredNanos();
-        int own = history.mostAround(report.measuredNanos());
-        foreign = own < 0 ? 0 : Math.max(0, report.running() + report.waiting() - own);
+        int ownRequests = history.maxAround(report.measuredNanos());
+        foreignRequests = ownRequests < 0 ? 0 : Math.max(0, report.running() + report.waiting() - ownRequests);
     }
 
-    /** A time per token as it would be on an empty worker, so that a busy worker isn't taken for a slow one. */
-    double atEmptyBatch(double perTokenNanos) {
+    /** Converts a time per token to that of an empty worker, so that a busy worker does not count as slow. */
+    double normalizeToEmptyBatch(double perTokenNanos) {
         double load = (double) grants.size() / Math.max(1, info.concurrency());
         return perTokenNanos / (1 + settings.batchSlowdown() * load);
     }
@@ -199,20 +204,21 @@
         return info.concurrency();
     }
 
-    private int foreign(long nowNanos) {
-        boolean fresh = foreign > 0 && nowNanos - reportNanos < settings.reportStaleNanos();
-        return fresh && settings.uses(Mechanism.LOAD_REPORTS) ? foreign : 0;
+    private int foreignRequests(long nowNanos) {
+        boolean fresh = foreignRequests > 0 && nowNanos - reportNanos < settings.reportStaleNanos();
+        return fresh && settings.uses(Mechanism.LOAD_REPORTS) ? foreignRequests : 0;
     }
 
     private boolean isExcludedFor(Ask ask) {
         return ask.excludedWorkers().contains(info.name());
     }
 
-    private static boolean mayProbe(Ask ask) {
+    /** A probe may fail, so it is neither a request that must run only once nor one of the highest tier. */
+    private static boolean isEligibleAsProbe(Ask ask) {
         return ask.idempotent() && ask.terms().tier() > ClassTerms.HIGHEST_TIER;
     }
 
-    private void endPrefill(RunningRequest running) {
+    private void subtractPrefill(RunningRequest running) {
         pendingPrefill = Math.max(0, pendingPrefill - running.placementRequest().prefillWork());
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/WorkerHealth.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/WorkerHealth.java
@@ -3,98 +3,108 @@
 import org.dotterelcourse.policy.cell.CellSettings;
 
 /**
- * Whether a worker is in use, rests after failures, or is being probed on its way back.
+ * Outlier detection for one worker: ejects it after failures or when it is too slow, and readmits it by probes after an
+ * exponential backoff.
  *
- * <p>Without ejection a crashed worker draws work: what it is given fails at once, so it always looks free. A worker that
- * comes back takes one request, then two, then four, so that a worker which still fails costs one request per rest.
+ * <p>Without ejection, a crashed worker attracts requests: each of them fails at once, so that the worker always has
+ * free slots. A worker being probed may run one request, then two, then four, so that a worker that still fails costs
+ * one request per backoff.
  */
 final class WorkerHealth {
-    private static final long LONGEST_REST_NANOS = 60_000_000_000L;
-    private static final double SLOWEST = 16;
+    private static final long MAX_BACKOFF_NANOS = 60_000_000_000L;
+    private static final double MAX_SLOW_FACTOR = 16;
 
     private final CellSettings settings;
-    private final SpeedWindow speed = new SpeedWindow();
+    private final TokenTimeWindow tokenTimes = new TokenTimeWindow();
     private double slowFactor = 1;
-    private int failures;
-    private long restNanos;
-    private long restsUntilNanos;
+    private int consecutiveFailures;
+    private long backoffNanos;
+    private long backoffUntilNanos;
     private boolean isEjected;
-    private int allowance;
+    private int probeLimit;
 
     WorkerHealth(CellSettings settings) {
         this.settings = settings;
-        this.restNanos = settings.probeAfterNanos();
+        this.backoffNanos = settings.probeAfterNanos();
     }
 
-    void sample(double perTokenNanos, long nowNanos) {
-        speed.add(perTokenNanos, nowNanos);
+    void addSample(double perTokenNanos, long nowNanos) {
+        tokenTimes.add(perTokenNanos, nowNanos);
     }
 
-    double median(long nowNanos) {
-        return speed.median(nowNanos);
+    /** Returns the median time per token in microseconds, or 0 if there are too few samples. */
+    double medianMicros(long nowNanos) {
+        return tokenTimes.medianMicros(nowNanos);
     }
 
-    /** Compares the worker with the cell; medians are 0 where unknown. */
-    void compare(double median, double cellMedian) {
+    /**
+     * Updates the slow factor from the medians of the worker and the cell; ignored if either is 0 (too few samples).
+     */
+    void updateSlowFactor(double median, double cellMedian) {
         if (median <= 0 || cellMedian <= 0) {
             return;
         }
-        double ratio = Math.min(SLOWEST, median / cellMedian);
+        double ratio = Math.min(MAX_SLOW_FACTOR, median / cellMedian);
         slowFactor = ratio < settings.slowFactorIgnored() ? 1 : ratio;
     }
 
+    /** Returns how many times slower than the cell's median the worker is; 1 if it is not notably slower. */
     double slowFactor() {
         return slowFactor;
     }
 
-    void failed() {
-        failures++;
+    void recordFailure() {
+        consecutiveFailures++;
     }
 
-    /** A request ended well; a probe that isn't slow widens the way back. */
-    void succeeded(int concurrency) {
-        failures = 0;
+    /**
+     * Records a successful request. If the worker is being probed and is not too slow, doubles the number of requests
+     * that it may run, and readmits it when that reaches its concurrency.
+     */
+    void recordSuccess(int concurrency) {
+        consecutiveFailures = 0;
         if (!isEjected || isTooSlow()) {
             return;
         }
-        allowance *= 2;
-        if (allowance >= concurrency) {
+        probeLimit *= 2;
+        if (probeLimit >= concurrency) {
             isEjected = false;
-            restNanos = settings.probeAfterNanos();
+            backoffNanos = settings.probeAfterNanos();
         }
     }
 
-    boolean shouldRest() {
-        return failures >= settings.ejectionFailures() || isTooSlow();
+    boolean shouldEject() {
+        return consecutiveFailures >= settings.ejectionFailures() || isTooSlow();
     }
 
-    /** Takes the worker out of use, each time for twice as long. */
+    /** Ejects the worker and doubles the backoff of the next ejection. */
     void eject(long nowNanos) {
-        restsUntilNanos = nowNanos + restNanos;
-        restNanos = Math.min(LONGEST_REST_NANOS, 2 * restNanos);
+        backoffUntilNanos = nowNanos + backoffNanos;
+        backoffNanos = Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
         isEjected = true;
-        allowance = 1;
-        failures = 0;
+        probeLimit = 1;
+        consecutiveFailures = 0;
         slowFactor = 1;
-        speed.clear();
+        tokenTimes.clear();
     }
 
+    /** Returns whether the worker is ejected, either in backoff or being probed. */
     boolean isEjected() {
         return isEjected;
     }
 
-    boolean isResting(long nowNanos) {
-        return isEjected && nowNanos < restsUntilNanos;
+    boolean isBackingOff(long nowNanos) {
+        return isEjected && nowNanos < backoffUntilNanos;
     }
 
-    /** How many requests a worker that is being probed may have. */
-    int allowance() {
-        return allowance;
+    /** Returns how many requests a worker that is being probed may run concurrently. */
+    int probeLimit() {
+        return probeLimit;
     }
 
-    /** A probe that failed sends the worker back to rest, whatever the count of failures. */
-    boolean probeFailed() {
-        return isEjected && (failures > 0 || isTooSlow());
+    /** Returns whether a probe failed or was too slow; a single one is enough to eject the worker again. */
+    boolean hasFailedProbe() {
+        return isEjected && (consecutiveFailures > 0 || isTooSlow());
     }
 
     private boolean isTooSlow() {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which worker of a cell takes a request, from grants, lagging reports and what was seen of each worker. */
+/** Placement of requests on the workers of a cell, based on grants, load reports and observed worker health. */
 package org.dotterelcourse.policy.placement;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -35,108 +35,109 @@
     }
 
     @Test
-    void keepsAPrefixAtOneWorkerUntilThatIsTooBusy() {
-        Set<String> light = new HashSet<>();
+    void keepsAPrefixOnOneWorkerUntilThatWorkerIsTooBusy() {
+        Set<String> workersUnderLightLoad = new HashSet<>();
         for (int i = 0; i < 5; i++) {
-            RunningRequest running = place(candidate(7, 2), 0);
-            light.add(running.worker());
+            RunningRequest running = place(request(7, 2), 0);
+            workersUnderLightLoad.add(running.worker());
             placement.recordRelease(running, ANSWERED, 0);
         }
-        Set<String> heavy = new HashSet<>();
+        Set<String> workersUnderHeavyLoad = new HashSet<>();
         for (int i = 0; i < 12; i++) {
-            heavy.add(place(candidate(7, 2), 0).worker());
+            workersUnderHeavyLoad.add(place(request(7, 2), 0).worker());
         }
 
-        assertThat(light).hasSize(1);
-        assertThat(heavy).hasSizeGreaterThan(3);
+        assertThat(workersUnderLightLoad).hasSize(1);
+        assertThat(workersUnderHeavyLoad).hasSizeGreaterThan(3);
     }
 
     @Test
-    void ejectsAWorkerThatFailsAndTakesItBackByProbes() {
-        // A worker has crashed. What it is given fails at once, so that it always looks free and draws more and more
-        // work; callers see errors although the rest of the cell is well.
-        Set<String> rest = ejectOne(0);
+    void ejectsAFailingWorkerAndReadmitsItAfterSuccessfulProbes() {
+        // Guards against a crashed worker that attracts requests: each of them fails at once, so that the worker
+        // always seems idle, and callers see errors although the rest of the cell is healthy.
+        Set<String> healthy = ejectOneWorker(0);
         long later = 6 * SECOND;
 
-        assertThat(rest).hasSize(5);
-        RunningRequest probe = place(candidate(0, 2), later);
-        assertThat(rest).doesNotContain(probe.worker());
-        assertThat(place(candidate(0, 2), later).worker()).isNotEqualTo(probe.worker());
+        assertThat(healthy).hasSize(5);
+        RunningRequest probe = place(request(0, 2), later);
+        assertThat(healthy).doesNotContain(probe.worker());
+        assertThat(place(request(0, 2), later).worker()).isNotEqualTo(probe.worker());
         placement.recordRelease(probe, ANSWERED, later);
-        placement.recordRelease(place(candidate(0, 2), later), ANSWERED, later);
-        assertThat(placement.ejected()).isEmpty();
+        placement.recordRelease(place(request(0, 2), later), ANSWERED, later);
+        assertThat(placement.ejectedWorkers()).isEmpty();
     }
 
     @Test
-    void doesNotProbeWithTheHighestTierOrWithWhatMayRunOnlyOnce() {
-        // A probe may fail. It should cost neither a teller's target nor a payout whose outcome nobody knows.
-        Set<String> rest = ejectOne(0);
+    void doesNotProbeWithRequestsOfTheHighestTierOrNonIdempotentOnes() {
+        // A probe may fail. It must not make an urgent request miss its target, nor leave the outcome of a request that
+        // must run only once, such as a payout, unknown.
+        Set<String> healthy = ejectOneWorker(0);
         long later = 6 * SECOND;
-        ClassTerms top = new ClassTerms("teller", 1, 0, 10, true, SECOND, SECOND, 100);
-
-        Ask once = new Ask("once", TERMS, "bank", 0, 0, 0, false, 0, Set.of());
-        assertThat(rest)
-                .contains(place(new PlacementRequest(once, 0, 1, false), later).worker());
-        Ask urgent = new Ask("urgent", top, "bank", 0, 0, 0, true, 0, Set.of());
-        assertThat(rest)
+        ClassTerms highestTier = new ClassTerms("teller", 1, 0, 10, true, SECOND, SECOND, 100);
+
+        Ask nonIdempotent = new Ask("once", TERMS, "bank", 0, 0, 0, false, 0, Set.of());
+        assertThat(healthy)
+                .contains(place(new PlacementRequest(nonIdempotent, 0, 1, false), later)
+                        .worker());
+        Ask urgent = new Ask("urgent", highestTier, "bank", 0, 0, 0, true, 0, Set.of());
+        assertThat(healthy)
                 .contains(
                         place(new PlacementRequest(urgent, 0, 1, false), later).worker());
     }
 
     @Test
     void ejectsNoMoreThanAThirdOfACell() {
-        // Every worker seems to fail, because the network of this process does. With all of them ejected nothing would
-        // be
-        // served when it is back.
+        // Guards against ejecting the whole cell: when this process's own network fails, all workers seem to fail, and
+        // with all of them ejected no request could be served once the network is back.
         for (int i = 0; i < 100; i++) {
             placement
-                    .place(candidate(0, 2), 0)
-                    .ifPresent(worker -> placement.recordRelease(grant(candidate(0, 2), worker, 0), FAILED, 0));
+                    .place(request(0, 2), 0)
+                    .ifPresent(worker -> placement.recordRelease(grant(request(0, 2), worker, 0), FAILED, 0));
         }
 
-        assertThat(placement.ejected()).hasSize(2);
+        assertThat(placement.ejectedWorkers()).hasSize(2);
     }
 
     @Test
     void givesASlowWorkerLessWork() {
-        // One worker steps at a third of the others' pace. It holds what it has three times as long, and so would end
-        // up
-        // with most of the cell's slow answers.
+        // One worker generates tokens at a third of the others' rate. It holds each request three times as long, and
+        // without a weight it would end up with most of the cell's requests, all answered slowly.
         Map<String, Integer> counts = new HashMap<>();
         stream(20 * MILLI, 60 * MILLI);
         for (int i = 0; i < 21; i++) {
-            counts.merge(place(candidate(0, 2), 4 * SECOND).worker(), 1, Integer::sum);
+            counts.merge(place(request(0, 2), 4 * SECOND).worker(), 1, Integer::sum);
         }
 
-        assertThat(placement.ejected()).isEmpty();
+        assertThat(placement.ejectedWorkers()).isEmpty();
         assertThat(counts.get("llm-1")).isEqualTo(1);
     }
 
     @Test
-    void ejectsAWorkerThatFallsSilentWhileOthersAnswer() {
-        // A worker stops without closing its connections. Until they time out nothing fails, and it goes on taking
-        // work.
+    void ejectsAWorkerThatStopsRespondingWhileOthersRespond() {
+        // Guards against a worker that stops without closing its connections: until these time out, no request fails,
+        // and the worker would continue to get requests.
         stream(20 * MILLI, 0);
 
-        assertThat(placement.ejected()).containsExactly("llm-1");
+        assertThat(placement.ejectedWorkers()).containsExactly("llm-1");
     }
 
     @Test
-    void takesAwayTheRoomThatOthersUseAsLongAsTheReportIsFresh() {
+    void subtractsForeignRequestsFromTheCapacityWhileTheLoadReportIsFresh() {
         placement.advance(0);
         placement.recordReport(new WorkerReport("llm-1", 0, 3, 1), 5 * SECOND);
 
-        assertThat(workersOf(20, 5 * SECOND)).doesNotContain("llm-1");
+        assertThat(placeAndCollectWorkers(20, 5 * SECOND)).doesNotContain("llm-1");
         assertThat(placement.hasCapacity(14 * SECOND)).isFalse();
         assertThat(placement.hasCapacity(16 * SECOND)).isTrue();
     }
 
     @Test
-    void readsItsOwnPastGrantsInALateReportAsItsOwn() {
-        // Reports are five seconds late. Taken for the present, a worker that was full then would stand idle now.
+    void doesNotCountItsOwnPastGrantsInALateReportAsForeign() {
+        // Reports are five seconds late. If one were taken for the current load, a worker that was full five seconds
+        // ago would get no requests and stay idle now.
         List<RunningRequest> all = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            all.add(place(candidate(0, 2), 0));
+            all.add(place(request(0, 2), 0));
         }
         placement.advance(0);
         for (RunningRequest running : all) {
@@ -144,56 +145,56 @@
         }
         placement.recordReport(new WorkerReport("llm-1", 0, 4, 0), 5 * SECOND);
 
-        assertThat(workersOf(24, 5 * SECOND)).contains("llm-1").hasSize(24);
+        assertThat(placeAndCollectWorkers(24, 5 * SECOND)).contains("llm-1").hasSize(24);
     }
 
     @Test
-    void capsTheLongJobsOfAWorker() {
+    void limitsTheLongRequestsOfAWorker() {
         int placed = 0;
-        PlacementRequest longJob = new PlacementRequest(ask(0, 2), 0, 1_000, true);
-        while (placement.place(longJob, 0).isPresent()) {
-            place(longJob, 0);
+        PlacementRequest longRequest = new PlacementRequest(ask(0, 2), 0, 1_000, true);
+        while (placement.place(longRequest, 0).isPresent()) {
+            place(longRequest, 0);
             placed++;
         }
 
         assertThat(placed).isEqualTo(12);
-        assertThat(placement.place(candidate(0, 2), 0)).isPresent();
+        assertThat(placement.place(request(0, 2), 0)).isPresent();
     }
 
     @Test
-    void countsAnAdoptedGrantAtAWorkerThatTheListShowsLater() {
+    void countsAnAdoptedGrantOnAWorkerThatIsPublishedLater() {
         CellPlacement fresh = new CellPlacement(CellSettings.builder().build());
-        grant(fresh, candidate(0, 2), "llm-1", 0);
+        grant(fresh, request(0, 2), "llm-1", 0);
         fresh.updateWorkers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 1, false)), 1);
 
         assertThat(fresh.hasCapacity(1)).isFalse();
     }
 
-    private Set<String> ejectOne(long nowNanos) {
-        String crashed = placement.place(candidate(0, 2), nowNanos).orElseThrow();
+    private Set<String> ejectOneWorker(long nowNanos) {
+        String crashed = placement.place(request(0, 2), nowNanos).orElseThrow();
         for (int i = 0; i < 3; i++) {
-            placement.recordRelease(grant(candidate(0, 2), crashed, nowNanos), FAILED, nowNanos);
+            placement.recordRelease(grant(request(0, 2), crashed, nowNanos), FAILED, nowNanos);
         }
-        assertThat(placement.ejected()).containsExactly(crashed);
-        Set<String> rest = new HashSet<>();
+        assertThat(placement.ejectedWorkers()).containsExactly(crashed);
+        Set<String> healthy = new HashSet<>();
         for (WorkerInfo worker : workers(4)) {
-            rest.add(worker.name());
+            healthy.add(worker.name());
         }
-        rest.remove(crashed);
-        return rest;
+        healthy.remove(crashed);
+        return healthy;
     }
 
-    /** Streams for four seconds on every worker; a pace of 0 is none. */
-    private void stream(long paceNanos, long paceOfFirstNanos) {
+    /** Streams for four seconds on every worker, with a token per given interval; an interval of 0 yields no tokens. */
+    private void stream(long tokenIntervalNanos, long firstWorkerTokenIntervalNanos) {
         List<RunningRequest> all = new ArrayList<>();
         for (WorkerInfo worker : workers(4)) {
-            all.add(grant(candidate(0, 2), worker.name(), 0));
+            all.add(grant(request(0, 2), worker.name(), 0));
         }
         for (long now = 0; now <= 4 * SECOND; now += 20 * MILLI) {
             for (RunningRequest running : all) {
-                long pace = running.worker().equals("llm-1") ? paceOfFirstNanos : paceNanos;
-                if (pace > 0) {
-                    placement.recordProgress(running, (int) (now / pace), false, now);
+                long interval = running.worker().equals("llm-1") ? firstWorkerTokenIntervalNanos : tokenIntervalNanos;
+                if (interval > 0) {
+                    placement.recordProgress(running, (int) (now / interval), false, now);
                 }
             }
             placement.advance(now);
@@ -203,30 +204,30 @@
         }
     }
 
-    private List<String> workersOf(int count, long nowNanos) {
+    private List<String> placeAndCollectWorkers(int count, long nowNanos) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            names.add(place(candidate(0, 2), nowNanos).worker());
+            names.add(place(request(0, 2), nowNanos).worker());
         }
         return names;
     }
 
-    private RunningRequest place(PlacementRequest candidate, long nowNanos) {
-        return grant(candidate, placement.place(candidate, nowNanos).orElseThrow(), nowNanos);
+    private RunningRequest place(PlacementRequest request, long nowNanos) {
+        return grant(request, placement.place(request, nowNanos).orElseThrow(), nowNanos);
     }
 
-    private RunningRequest grant(PlacementRequest candidate, String worker, long nowNanos) {
-        return grant(placement, candidate, worker, nowNanos);
+    private RunningRequest grant(PlacementRequest request, String worker, long nowNanos) {
+        return grant(placement, request, worker, nowNanos);
     }
 
-    private RunningRequest grant(CellPlacement at, PlacementRequest candidate, String worker, long nowNanos) {
+    private RunningRequest grant(CellPlacement at, PlacementRequest request, String worker, long nowNanos) {
         lastGrant++;
-        RunningRequest running = new RunningRequest(lastGrant, candidate, worker, false, nowNanos);
+        RunningRequest running = new RunningRequest(lastGrant, request, worker, false, nowNanos);
         at.recordGrant(running, nowNanos);
         return running;
     }
 
-    private static PlacementRequest candidate(long prefix, int tokens) {
+    private static PlacementRequest request(long prefix, int tokens) {
         return new PlacementRequest(ask(prefix, tokens), 0, tokens, false);
     }
 
