--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/PendingRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/PendingRequest.java
@@ -1,15 +1,22 @@
 package org.dotterelcourse.policy.line;
 
 /**
- * One request in the line.
+ * A request that waits in an {@link UpstreamQueue}.
  *
- * @param item what the line's owner knows it by
- * @param priority urgency, 0 the highest
- * @param customer whose it is
- * @param arrivalNanos when it came
- * @param onTimeUntilNanos until when it can still be placed and be on time
- * @param inTimeUntilNanos until when it can still be placed and end before its client gives up
- * @param <T> the type of what it is known by
+ * @param item the caller's own object for the request, compared by {@code equals}
+ * @param priority the request's priority, 0 being the most urgent
+ * @param customer the name of the customer that sent the request
+ * @param arrivalNanos monotonic time in nanoseconds at which the request arrived
+ * @param latestOnTimeStartNanos monotonic time in nanoseconds until which the request can be dispatched and still
+ *     meet its latency target
+ * @param latestUsefulStartNanos monotonic time in nanoseconds until which the request can be dispatched and still
+ *     finish before its client gives up
+ * @param <T> the type of the caller's object
  */
 public record PendingRequest<T>(
-        T item, int priority, String customer, long arrivalNanos, long onTimeUntilNanos, long inTimeUntilNanos) {}
+        T item,
+        int priority,
+        String customer,
+        long arrivalNanos,
+        long latestOnTimeStartNanos,
+        long latestUsefulStartNanos) {}
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/UpstreamQueue.java
@@ -9,142 +9,147 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The requests that wait at one process for room at an upstream's engines.
+ * Priority queue of the requests that wait in one process for a free slot at an upstream's engines. Not thread-safe.
  *
- * <p>It answers a burst of long prompts that can wait, and a customer that sends many times its usual. Sent on at once they
- * would all be read at once, and their answers would crawl until their clients give up: of 646 drafts in a burst of 2.3
- * times the usual, 337 ended so after 14 s of work each. In the line they cost nothing.
+ * <p>Answers a burst of long prompts that can wait, and a customer that sends many times its usual load. Without a
+ * queue, the engines would process all prompts of a burst at the same time and generate so slowly that clients give
+ * up: of 646 requests in a burst of 2.3 times the usual load, 337 were abandoned after 14 s of work each. A request
+ * in the queue costs the engines nothing.
  *
- * <p>The more urgent go first, and among equals those that can still be on time, so that what is late already makes nobody
- * else late. Among those, the oldest and the one of the customer that lately got least take turns: a customer that sends
- * more than all others together neither takes all places nor loses all of its own.
+ * <p>Requests are ordered by priority. Within a priority, requests that can still meet their latency target precede
+ * late ones, so that a late request does not delay others past their targets. Among the rest, the queue alternates
+ * between the oldest request and the request of the customer with the fewest recent dispatches, so that a customer
+ * that sends more than all others together neither takes all slots nor is left without any.
  *
- * @param <T> the type of what the requests are known by
+ * @param <T> the type of the caller's objects for requests
  */
 public final class UpstreamQueue<T> {
-    /** As long as a burst takes to build up: a customer's share is judged by what it got in the last seconds. */
+    /** Half-life of the dispatch counts, about the time in which a burst builds up. */
     private static final double HALF_LIFE_NANOS = 4e9;
 
-    /** Above this number, customers that lately got next to nothing are forgotten, so that the memory stays bounded. */
-    private static final int MANY_CUSTOMERS = 256;
+    /** Number of customers above which those with hardly any recent dispatches are evicted, to bound the memory. */
+    private static final int MAX_CUSTOMERS = 256;
+
+    /** Customers with a smaller decayed dispatch count may be evicted. */
+    private static final double MIN_DISPATCHES = 0.01;
 
-    private static final double FORGOTTEN = 0.01;
     private static final double NANOS_PER_MILLI = 1e6;
 
-    private final List<PendingRequest<T>> waiting = new ArrayList<>();
-    private final Map<String, Served> served = new HashMap<>();
-    private boolean oldestNext;
-    private double placed;
-    private long placedNanos;
+    private final List<PendingRequest<T>> pending = new ArrayList<>();
+    private final Map<String, DecayedCount> dispatchesByCustomer = new HashMap<>();
+    private boolean isOldestNext;
+    private double dispatches;
+    private long dispatchedNanos;
 
-    private record Served(double count, long atNanos) {
-        double lately(long nowNanos) {
-            return count * Math.pow(0.5, Math.max(0, nowNanos - atNanos) / HALF_LIFE_NANOS);
+    /** A count that decays exponentially, with the time of its last update. */
+    private record DecayedCount(double count, long updatedNanos) {
+        double at(long nowNanos) {
+            return count * Math.pow(0.5, Math.max(0, nowNanos - updatedNanos) / HALF_LIFE_NANOS);
         }
     }
 
     /**
-     * A request joins.
+     * Adds a request.
      *
-     * @param waiter the request
+     * @param request the request
      */
-    public void add(PendingRequest<T> waiter) {
-        waiting.add(waiter);
+    public void add(PendingRequest<T> request) {
+        pending.add(request);
     }
 
     /**
-     * A request leaves, whatever for; nothing if it is not here.
+     * Removes a request, whether it was dispatched or withdrawn. Does nothing if it is not in the queue.
      *
-     * @param item what it is known by
+     * @param item the caller's object for the request
      */
     public void remove(T item) {
-        waiting.removeIf(each -> each.item().equals(item));
+        pending.removeIf(each -> each.item().equals(item));
     }
 
     /**
-     * How many wait.
+     * Returns the number of pending requests.
      *
-     * @return the count
+     * @return the number of requests in the queue
      */
     public int size() {
-        return waiting.size();
+        return pending.size();
     }
 
     /**
-     * Who is next.
+     * Returns the request to dispatch next, without removing it.
      *
-     * @param nowNanos the time
-     * @return empty if nobody waits
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return the next request, or empty if the queue is empty
      */
     public Optional<PendingRequest<T>> peekNext(long nowNanos) {
         Comparator<PendingRequest<T>> order = Comparator.<PendingRequest<T>>comparingInt(PendingRequest::priority)
-                .thenComparing(each -> nowNanos > each.onTimeUntilNanos())
-                .thenComparingDouble(oldestNext ? each -> 0 : servedLately(nowNanos))
+                .thenComparing(each -> nowNanos > each.latestOnTimeStartNanos())
+                .thenComparingDouble(isOldestNext ? each -> 0 : recentDispatches(nowNanos))
                 .thenComparingLong(PendingRequest::arrivalNanos);
-        return waiting.stream().min(order);
+        return pending.stream().min(order);
     }
 
-    private ToDoubleFunction<PendingRequest<T>> servedLately(long nowNanos) {
-        return each -> served.containsKey(each.customer())
-                ? served.get(each.customer()).lately(nowNanos)
+    private ToDoubleFunction<PendingRequest<T>> recentDispatches(long nowNanos) {
+        return each -> dispatchesByCustomer.containsKey(each.customer())
+                ? dispatchesByCustomer.get(each.customer()).at(nowNanos)
                 : 0;
     }
 
     /**
-     * A request was sent to an engine, from the line or past it.
+     * Records that a request was dispatched to an engine, whether or not it was queued before.
      *
-     * @param customer whose it is
-     * @param nowNanos the time
+     * @param customer the name of the customer that sent the request
+     * @param nowNanos the current monotonic time in nanoseconds
      */
     public void recordDispatch(String customer, long nowNanos) {
-        oldestNext = !oldestNext;
-        placed = placedLately(nowNanos) + 1;
-        placedNanos = nowNanos;
-        Served before = served.getOrDefault(customer, new Served(0, nowNanos));
-        served.put(customer, new Served(before.lately(nowNanos) + 1, nowNanos));
-        if (served.size() > MANY_CUSTOMERS) {
-            served.values().removeIf(each -> each.lately(nowNanos) < FORGOTTEN);
+        isOldestNext = !isOldestNext;
+        dispatches = recentDispatchesOfAll(nowNanos) + 1;
+        dispatchedNanos = nowNanos;
+        DecayedCount previous = dispatchesByCustomer.getOrDefault(customer, new DecayedCount(0, nowNanos));
+        dispatchesByCustomer.put(customer, new DecayedCount(previous.at(nowNanos) + 1, nowNanos));
+        if (dispatchesByCustomer.size() > MAX_CUSTOMERS) {
+            dispatchesByCustomer.values().removeIf(each -> each.at(nowNanos) < MIN_DISPATCHES);
         }
     }
 
-    private double placedLately(long nowNanos) {
-        return placed * Math.pow(0.5, Math.max(0, nowNanos - placedNanos) / HALF_LIFE_NANOS);
+    private double recentDispatchesOfAll(long nowNanos) {
+        return dispatches * Math.pow(0.5, Math.max(0, nowNanos - dispatchedNanos) / HALF_LIFE_NANOS);
     }
 
     /**
-     * How long a newcomer would wait, by how many lately left for an engine.
+     * Estimates how long a new request would wait: the length of the queue divided by the recent dispatch rate.
      *
-     * @param nowNanos the time
-     * @return milliseconds
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return the estimate in milliseconds; 0 if the queue is empty
      */
     public double expectedWaitMillis(long nowNanos) {
-        double perNano = placedLately(nowNanos) * Math.log(2) / HALF_LIFE_NANOS;
-        double nanos = perNano == 0 ? HALF_LIFE_NANOS : waiting.size() / perNano;
-        return waiting.isEmpty() ? 0 : nanos / NANOS_PER_MILLI;
+        double perNano = recentDispatchesOfAll(nowNanos) * Math.log(2) / HALF_LIFE_NANOS;
+        double nanos = perNano == 0 ? HALF_LIFE_NANOS : pending.size() / perNano;
+        return pending.isEmpty() ? 0 : nanos / NANOS_PER_MILLI;
     }
 
     /**
-     * Takes out those that can't end in time any more.
+     * Removes the requests that can no longer finish before their clients give up.
      *
-     * @param nowNanos the time
-     * @return who is to be told so
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return the removed requests, which the caller has to reject
      */
     public List<PendingRequest<T>> removeExpired(long nowNanos) {
-        List<PendingRequest<T>> hopeless = waiting.stream()
-                .filter(each -> nowNanos > each.inTimeUntilNanos())
+        List<PendingRequest<T>> expired = pending.stream()
+                .filter(each -> nowNanos > each.latestUsefulStartNanos())
                 .toList();
-        waiting.removeAll(hopeless);
-        return hopeless;
+        pending.removeAll(expired);
+        return expired;
     }
 
     /**
-     * Takes out all.
+     * Removes all requests.
      *
-     * @return who is to be told to go elsewhere
+     * @return the removed requests, which the caller has to reject so that their clients retry elsewhere
      */
     public List<PendingRequest<T>> removeAll() {
-        List<PendingRequest<T>> all = List.copyOf(waiting);
-        waiting.clear();
+        List<PendingRequest<T>> all = List.copyOf(pending);
+        pending.clear();
         return all;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/line/package-info.java
@@ -1,2 +1,2 @@
-/** The line in front of an upstream's engines: who waits there, who is next, and who is told to come back. */
+/** Queue in front of an upstream's engines: order of dispatch, expected wait, and rejection of expired requests. */
 package org.dotterelcourse.policy.line;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -12,141 +12,146 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * An engine reads prompts in chunks before it goes on with answers. For twenty seconds prompts come faster than it can read
- * them. Sent on at once, all are read and all answers crawl until their clients give up, so that nearly all of the engine's
- * work is lost. With a line in front of it, those that are let through end in time.
+ * Guards against losing most of an engine's work in a burst of long prompts. An engine processes prompts in chunks
+ * before it continues to generate output. For twenty seconds, prompts arrive faster than it can process them. If all
+ * are dispatched at once, it processes all of them and generates so slowly that clients time out, and nearly all of
+ * its work is lost. With a queue in front of it, the dispatched requests complete in time.
  */
 class BurstOfLongPromptsTest {
-    private static final double CHUNK_TOKENS = 2_048;
-    private static final double TOKENS_PER_MILLI = 50;
+    private static final double PREFILL_CHUNK_TOKENS = 2_048;
+    private static final double PREFILL_TOKENS_PER_MILLI = 50;
     private static final double STEP_MILLIS = 5;
-    private static final int ANSWER_TOKENS = 380;
+    private static final int OUTPUT_TOKENS = 380;
     private static final double TIMEOUT_MILLIS = 15_000;
     private static final double TARGET_MILLIS = 2_500;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final EngineModel model = new EngineModel();
-    private final UpstreamQueue<Stream> line = new UpstreamQueue<>();
-    private final List<Stream> under = new ArrayList<>();
-    private final Deque<Stream> unread = new ArrayDeque<>();
-    private int ended;
-    private int lost;
-    private int refused;
+    private final UpstreamQueue<Stream> queue = new UpstreamQueue<>();
+    private final List<Stream> inFlight = new ArrayList<>();
+    private final Deque<Stream> pendingPrefills = new ArrayDeque<>();
+    private int completed;
+    private int timedOut;
+    private int rejected;
 
     private static final class Stream {
         private final double arrivalMillis;
-        private double tokensToRead;
-        private int tokensToMake = ANSWER_TOKENS;
+        private double promptTokensLeft;
+        private int outputTokensLeft = OUTPUT_TOKENS;
         private double lastTokenMillis;
 
-        private Stream(double arrivalMillis, double tokensToRead) {
+        private Stream(double arrivalMillis, double promptTokensLeft) {
             this.arrivalMillis = arrivalMillis;
-            this.tokensToRead = tokensToRead;
+            this.promptTokensLeft = promptTokensLeft;
         }
     }
 
-    // Before: none of 235 streams ends, and all that the engine does in 40 s is lost. After: 164 end, none is lost, and
-    // 87
-    // clients are told in time that there is no room.
+    // Without the queue, none of 235 streams completes, and all of the engine's work in 40 s is lost. With the queue,
+    // 164 complete, none times out, and 87 clients are rejected in time.
     @Test
-    void mostOfWhatTheEngineReadsEndsInTime() {
-        play(false);
-        assertThat(ended).isLessThan(20);
-        assertThat(lost).isGreaterThan(200);
+    void mostDispatchedRequestsCompleteBeforeTheirTimeout() {
+        simulate(false);
+        assertThat(completed).isLessThan(20);
+        assertThat(timedOut).isGreaterThan(200);
         reset();
-        play(true);
-        assertThat(ended).isGreaterThan(120);
-        assertThat(lost).isLessThan(10);
-        assertThat(refused).isLessThan(ended);
+        simulate(true);
+        assertThat(completed).isGreaterThan(120);
+        assertThat(timedOut).isLessThan(10);
+        assertThat(rejected).isLessThan(completed);
     }
 
     private void reset() {
-        under.clear();
-        unread.clear();
-        ended = 0;
-        lost = 0;
+        inFlight.clear();
+        pendingPrefills.clear();
+        completed = 0;
+        timedOut = 0;
     }
 
-    private void play(boolean withLine) {
+    private void simulate(boolean withQueue) {
         Random random = new Random(11);
-        double now = 0;
-        double next = 0;
-        while (now < 40_000) {
-            while (next <= now) {
-                arrive(new Stream(next, 2_000 + random.nextInt(10_000)), withLine, now);
-                next += (next < 20_000 ? 90 : 700) * (0.5 + random.nextDouble());
+        double nowMillis = 0;
+        double nextArrivalMillis = 0;
+        while (nowMillis < 40_000) {
+            while (nextArrivalMillis <= nowMillis) {
+                receive(new Stream(nextArrivalMillis, 2_000 + random.nextInt(10_000)), withQueue, nowMillis);
+                nextArrivalMillis += (nextArrivalMillis < 20_000 ? 90 : 700) * (0.5 + random.nextDouble());
             }
-            letThrough(now);
-            now += step(now);
+            dispatchPending(nowMillis);
+            nowMillis += step(nowMillis);
         }
     }
 
-    private void arrive(Stream stream, boolean withLine, double now) {
-        if (!withLine) {
+    private void receive(Stream stream, boolean withQueue, double nowMillis) {
+        if (!withQueue) {
             send(stream);
             return;
         }
-        line.add(new PendingRequest<>(
+        queue.add(new PendingRequest<>(
                 stream,
                 2,
                 "c",
                 nanos(stream.arrivalMillis),
                 nanos(stream.arrivalMillis + TARGET_MILLIS - model.leadMillis()),
                 nanos(stream.arrivalMillis + TIMEOUT_MILLIS / 2)));
-        letThrough(now);
+        dispatchPending(nowMillis);
     }
 
-    private void letThrough(double now) {
-        refused += line.removeExpired(nanos(now)).size();
-        while (line.size() > 0 && under.size() < model.streamsWithin(TIMEOUT_MILLIS / 2)) {
-            PendingRequest<Stream> next = line.peekNext(nanos(now)).orElseThrow();
-            line.remove(next.item());
-            line.recordDispatch(next.customer(), nanos(now));
+    private void dispatchPending(double nowMillis) {
+        rejected += queue.removeExpired(nanos(nowMillis)).size();
+        while (queue.size() > 0 && inFlight.size() < model.streamsWithin(TIMEOUT_MILLIS / 2)) {
+            PendingRequest<Stream> next = queue.peekNext(nanos(nowMillis)).orElseThrow();
+            queue.remove(next.item());
+            queue.recordDispatch(next.customer(), nanos(nowMillis));
             send(next.item());
         }
     }
 
     private void send(Stream stream) {
-        under.add(stream);
-        unread.add(stream);
-        model.placed(stream.tokensToRead / TOKENS_PER_MILLI, ANSWER_TOKENS);
+        inFlight.add(stream);
+        pendingPrefills.add(stream);
+        model.placed(stream.promptTokensLeft / PREFILL_TOKENS_PER_MILLI, OUTPUT_TOKENS);
     }
 
-    /** One step: a chunk of prompts, first come first read, and a token for each stream that was read. */
-    private double step(double now) {
-        double chunk = CHUNK_TOKENS;
-        while (chunk > 0 && !unread.isEmpty()) {
-            Stream first = unread.peek();
-            double tokens = Math.min(chunk, first.tokensToRead);
-            first.tokensToRead -= tokens;
-            chunk -= tokens;
-            if (first.tokensToRead <= 0) {
-                unread.remove();
+    /**
+     * Runs one engine step: a chunk of the prompts in order of arrival, and one token for each stream whose prompt
+     * has been processed.
+     *
+     * @return the duration of the step in milliseconds
+     */
+    private double step(double nowMillis) {
+        double chunkTokensLeft = PREFILL_CHUNK_TOKENS;
+        while (chunkTokensLeft > 0 && !pendingPrefills.isEmpty()) {
+            Stream first = pendingPrefills.peek();
+            double tokens = Math.min(chunkTokensLeft, first.promptTokensLeft);
+            first.promptTokensLeft -= tokens;
+            chunkTokensLeft -= tokens;
+            if (first.promptTokensLeft <= 0) {
+                pendingPrefills.remove();
             }
         }
-        double millis = STEP_MILLIS + (CHUNK_TOKENS - chunk) / TOKENS_PER_MILLI;
-        for (Stream stream : List.copyOf(under)) {
-            token(stream, now + millis);
+        double millis = STEP_MILLIS + (PREFILL_CHUNK_TOKENS - chunkTokensLeft) / PREFILL_TOKENS_PER_MILLI;
+        for (Stream stream : List.copyOf(inFlight)) {
+            generateToken(stream, nowMillis + millis);
         }
         return millis;
     }
 
-    private void token(Stream stream, double now) {
-        if (stream.tokensToRead <= 0) {
-            stream.tokensToMake--;
+    private void generateToken(Stream stream, double nowMillis) {
+        if (stream.promptTokensLeft <= 0) {
+            stream.outputTokensLeft--;
             if (stream.lastTokenMillis > 0) {
-                model.paused(now - stream.lastTokenMillis, 1);
+                model.paused(nowMillis - stream.lastTokenMillis, 1);
             }
-            stream.lastTokenMillis = now;
+            stream.lastTokenMillis = nowMillis;
         }
-        boolean late = now > stream.arrivalMillis + TIMEOUT_MILLIS;
-        if (stream.tokensToMake == 0 || late) {
-            under.remove(stream);
-            unread.remove(stream);
-            ended += late ? 0 : 1;
-            lost += late ? 1 : 0;
-            if (!late) {
-                model.answered(ANSWER_TOKENS);
+        boolean isLate = nowMillis > stream.arrivalMillis + TIMEOUT_MILLIS;
+        if (stream.outputTokensLeft == 0 || isLate) {
+            inFlight.remove(stream);
+            pendingPrefills.remove(stream);
+            completed += isLate ? 0 : 1;
+            timedOut += isLate ? 1 : 0;
+            if (!isLate) {
+                model.answered(OUTPUT_TOKENS);
             }
         }
     }
