--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/SlidingWindowLog.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/SlidingWindowLog.java
@@ -4,21 +4,24 @@
 import java.util.Deque;
 
 /**
- * When this process sent one worker its last requests. Those from before its intake was known to be bounded count as
- * well: it may have been so already when they came.
+ * Sliding window log of the requests that this process sent to one worker. Requests are logged even before a limit is
+ * known for the worker, because the limit may already have applied when they arrived.
  */
 public final class SlidingWindowLog {
-    /** No window that allows several requests is longer. Of others only the last request need be known. */
-    private static final long KEPT_NANOS = 2_000_000_000L;
+    /**
+     * Time for which requests are kept. No window that allows several requests is longer; for longer windows the last
+     * request is sufficient.
+     */
+    private static final long RETENTION_NANOS = 2_000_000_000L;
 
     private final Deque<Long> sentNanos = new ArrayDeque<>();
 
     /**
-     * Whether one more request may be sent.
+     * Checks whether one more request may be sent now.
      *
-     * @param share what this process may send
-     * @param nowNanos the time
-     * @return false if the share of the window that ends now is used up
+     * @param share the limit of this process
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return false if the window that ends now already contains the allowed number of requests
      */
     public boolean allows(RateShare share, long nowNanos) {
         long inWindow = sentNanos.stream()
@@ -28,12 +31,12 @@
     }
 
     /**
-     * A request is sent.
+     * Records that a request is sent.
      *
-     * @param nowNanos the time
+     * @param nowNanos the current monotonic time in nanoseconds
      */
     public void recordRequest(long nowNanos) {
-        while (!sentNanos.isEmpty() && nowNanos - sentNanos.peekFirst() >= KEPT_NANOS) {
+        while (!sentNanos.isEmpty() && nowNanos - sentNanos.peekFirst() >= RETENTION_NANOS) {
             sentNanos.removeFirst();
         }
         sentNanos.addLast(nowNanos);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/WorkerLimits.java
@@ -7,156 +7,164 @@
 import java.util.OptionalDouble;
 
 /**
- * What workers last said of the requests that they take in a second, by the incarnation of the worker.
+ * The latest request rate limits of workers, by worker incarnation, replicated among the processes of a fleet by
+ * gossip.
  *
- * <p>It answers workers in need, whose limit is for all processes together: those that had no answer of such a worker
- * lately learn of its limit, and of its end, by notices of their peers. These may come in any order, late and more than
- * once; the worker's newest word counts.
+ * <p>Answers overloaded workers, whose limit applies to all processes together: processes without a recent response
+ * of such a worker learn the limit, and its end, from notices of their peers. Notices may arrive late, repeatedly and
+ * in any order; the most recent statement of the worker wins.
  */
 public final class WorkerLimits {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** How often news is told, because messages get lost. */
-    private static final int TELL_TIMES = 3;
+    /** Number of times that a changed limit is sent, because messages get lost. */
+    private static final int SEND_COUNT = 3;
 
-    private static final int MOST_NEWS = 64;
+    private static final int MAX_UPDATES = 64;
 
-    /** Limits are told again this often, for processes that have started since. */
-    private static final long REMIND_NANOS = 1_000 * NANOS_PER_MILLI;
+    /** Interval at which the limits in force are sent again, for processes that have started since. */
+    private static final long REMINDER_INTERVAL_NANOS = 1_000 * NANOS_PER_MILLI;
 
-    private static final int MOST_REMINDERS = 64;
+    private static final int MAX_REMINDERS = 64;
 
-    /** A word that only repeats a known one counts as newer beyond this, so that its way between peers adds nothing. */
-    private static final long REPEATED_NANOS = 1_000 * NANOS_PER_MILLI;
+    /**
+     * Minimum difference in time for a peer's notice with an unchanged limit to count as more recent. Without it, the
+     * time that the notice takes between peers would make it seem more recent than it is.
+     */
+    private static final long MIN_REPEAT_NANOS = 1_000 * NANOS_PER_MILLI;
 
-    /** In the order in which they were last reminded of. */
-    private final Map<Integer, Word> words = new LinkedHashMap<>();
+    /** Ordered by the time of the last reminder, the least recent first. */
+    private final Map<Integer, Statement> statements = new LinkedHashMap<>();
 
-    private boolean remindSoon = true;
+    private boolean areRemindersDue = true;
     private long remindedNanos;
 
-    /** A worker's word, and how often it is still to be told. */
-    private record Word(OptionalDouble perSecond, long saidNanos, int untold) {
-        boolean repeats(Word other) {
+    /** A worker's statement of its limit, and how often it remains to be sent. */
+    private record Statement(OptionalDouble perSecond, long statedNanos, int remainingSends) {
+        boolean hasSameLimit(Statement other) {
             return perSecond.equals(other.perSecond);
         }
 
-        Word told(int times) {
-            return new Word(perSecond, saidNanos, times);
+        Statement withRemainingSends(int sends) {
+            return new Statement(perSecond, statedNanos, sends);
         }
 
-        LimitNotice notice(int worker, long nowNanos) {
-            return new LimitNotice(worker, perSecond, (nowNanos - saidNanos) / NANOS_PER_MILLI);
+        LimitNotice toNotice(int worker, long nowNanos) {
+            return new LimitNotice(worker, perSecond, (nowNanos - statedNanos) / NANOS_PER_MILLI);
         }
     }
 
     /**
-     * A worker has answered this process.
+     * Updates the limit of a worker from its response to this process.
      *
-     * @param worker its incarnation
-     * @param named requests a second that it takes from all processes, empty if it named no limit
-     * @param nowNanos the time
-     * @return whether this is news
+     * @param worker the worker's incarnation
+     * @param perSecond requests per second that it accepts from all processes together; empty if it set no limit
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return whether the limit has changed
      */
-    public boolean updateFromWorker(int worker, OptionalDouble named, long nowNanos) {
-        Word known = words.get(worker);
-        if (known == null && named.isEmpty()) {
+    public boolean updateFromWorker(int worker, OptionalDouble perSecond, long nowNanos) {
+        Statement current = statements.get(worker);
+        if (current == null && perSecond.isEmpty()) {
             return false;
         }
-        Word word = new Word(named, nowNanos, TELL_TIMES);
-        boolean news = known == null || !word.repeats(known);
-        words.put(worker, news ? word : word.told(known.untold()));
-        return news;
+        Statement statement = new Statement(perSecond, nowNanos, SEND_COUNT);
+        boolean changed = current == null || !statement.hasSameLimit(current);
+        statements.put(worker, changed ? statement : statement.withRemainingSends(current.remainingSends()));
+        return changed;
     }
 
     /**
-     * A peer tells of a worker's word. One that is behind gets the newer word with the next notices.
+     * Updates the limit of a worker from a peer's notice. If the notice is outdated, the current limit is sent with the
+     * next notices.
      *
-     * @param notice the word
-     * @param nowNanos the time
-     * @return whether this is news
+     * @param notice the peer's notice
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return whether the limit has changed
      */
     public boolean updateFromPeer(LimitNotice notice, long nowNanos) {
-        Word word = new Word(notice.perSecond(), nowNanos - notice.agoMillis() * NANOS_PER_MILLI, TELL_TIMES);
-        Word known = words.get(notice.worker());
-        if (known == null) {
+        Statement statement =
+                new Statement(notice.perSecond(), nowNanos - notice.agoMillis() * NANOS_PER_MILLI, SEND_COUNT);
+        Statement current = statements.get(notice.worker());
+        if (current == null) {
             if (notice.perSecond().isPresent()) {
-                words.put(notice.worker(), word);
+                statements.put(notice.worker(), statement);
             }
             return notice.perSecond().isPresent();
         }
-        long newerNanos = word.saidNanos() - known.saidNanos();
-        if (word.repeats(known)) {
-            if (newerNanos > REPEATED_NANOS) {
-                words.put(notice.worker(), word.told(known.untold()));
+        long newerNanos = statement.statedNanos() - current.statedNanos();
+        if (statement.hasSameLimit(current)) {
+            if (newerNanos > MIN_REPEAT_NANOS) {
+                statements.put(notice.worker(), statement.withRemainingSends(current.remainingSends()));
             }
             return false;
         }
-        words.put(notice.worker(), newerNanos > 0 ? word : known.told(Math.max(1, known.untold())));
+        statements.put(
+                notice.worker(),
+                newerNanos > 0 ? statement : current.withRemainingSends(Math.max(1, current.remainingSends())));
         return newerNanos > 0;
     }
 
     /**
-     * The limit that a worker last named.
+     * Returns the latest limit of a worker.
      *
-     * @param worker its incarnation
-     * @return requests a second, empty if it takes whatever it has room for
+     * @param worker the worker's incarnation
+     * @return requests per second that it accepts from all processes together; empty if it sets no limit
      */
     public OptionalDouble limit(int worker) {
-        Word known = words.get(worker);
-        return known == null ? OptionalDouble.empty() : known.perSecond();
+        Statement current = statements.get(worker);
+        return current == null ? OptionalDouble.empty() : current.perSecond();
     }
 
     /**
-     * A worker is published no more.
+     * Removes a worker that is no longer published.
      *
-     * @param worker its incarnation
+     * @param worker the worker's incarnation
      */
     public void remove(int worker) {
-        words.remove(worker);
+        statements.remove(worker);
     }
 
-    /** A peer may have started: it is told with the next notices which workers name a limit. */
+    /** Sends the limits in force again with the next notices, because a peer may have started. */
     public void scheduleReminders() {
-        remindSoon = true;
+        areRemindersDue = true;
     }
 
     /**
-     * What to tell the peers now: news, and now and then the limits that stand.
+     * Returns the notices to send to the peers now: changed limits and, at intervals, the limits in force.
      *
-     * @param nowNanos the time
+     * @param nowNanos the current monotonic time in nanoseconds
      * @return a bounded number of notices, usually none
      */
     public List<LimitNotice> takeNotices(long nowNanos) {
         List<LimitNotice> notices = new ArrayList<>();
-        if (words.isEmpty()) {
+        if (statements.isEmpty()) {
             return notices;
         }
-        for (Map.Entry<Integer, Word> entry : words.entrySet()) {
-            Word word = entry.getValue();
-            if (word.untold() > 0 && notices.size() < MOST_NEWS) {
-                notices.add(word.notice(entry.getKey(), nowNanos));
-                entry.setValue(word.told(word.untold() - 1));
+        for (Map.Entry<Integer, Statement> entry : statements.entrySet()) {
+            Statement statement = entry.getValue();
+            if (statement.remainingSends() > 0 && notices.size() < MAX_UPDATES) {
+                notices.add(statement.toNotice(entry.getKey(), nowNanos));
+                entry.setValue(statement.withRemainingSends(statement.remainingSends() - 1));
             }
         }
-        if (remindSoon || nowNanos - remindedNanos > REMIND_NANOS) {
-            remindSoon = false;
+        if (areRemindersDue || nowNanos - remindedNanos > REMINDER_INTERVAL_NANOS) {
+            areRemindersDue = false;
             remindedNanos = nowNanos;
-            remind(notices, nowNanos);
+            addReminders(notices, nowNanos);
         }
         return notices;
     }
 
-    private void remind(List<LimitNotice> notices, long nowNanos) {
-        List<Integer> turn = words.entrySet().stream()
+    private void addReminders(List<LimitNotice> notices, long nowNanos) {
+        List<Integer> workers = statements.entrySet().stream()
                 .filter(entry -> entry.getValue().perSecond().isPresent())
                 .map(Map.Entry::getKey)
-                .limit(MOST_REMINDERS)
+                .limit(MAX_REMINDERS)
                 .toList();
-        for (Integer worker : turn) {
-            Word word = words.remove(worker);
-            words.put(worker, word);
-            notices.add(word.notice(worker, nowNanos));
+        for (Integer worker : workers) {
+            Statement statement = statements.remove(worker);
+            statements.put(worker, statement);
+            notices.add(statement.toNotice(worker, nowNanos));
         }
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/rate/package-info.java
@@ -1,2 +1,4 @@
-/** How many requests a worker gets that takes only so many from all processes of a fleet together. */
+/**
+ * Rate limits of workers that accept a limited number of requests per second from all processes of a fleet together.
+ */
 package org.dotterelcourse.policy.rate;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
@@ -17,7 +17,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     @Test
-    void asManyProcessesAsRequestsInASecondHoldAShare() {
+    void hasAsManyHoldersAsWholeRequestsPerSecond() {
         assertThat(RateShare.ofPeak(5.9, 60)).isEqualTo(new RateShare(5, 1, SECOND));
         assertThat(RateShare.ofPeak(5.9, 2)).isEqualTo(new RateShare(2, 2, SECOND));
         assertThat(RateShare.ofPeak(5.9, 1)).isEqualTo(new RateShare(1, 5, SECOND));
@@ -25,28 +25,28 @@
     }
 
     @Property(seed = "20261203")
-    void theSharesAreNeverMoreThanAWorkerBears(
+    void peakSharesNeverExceedTheWorkersRate(
             @ForAll @DoubleRange(min = 0.01, max = 1_000) double perSecond,
             @ForAll @IntRange(min = 1, max = 400) int processes) {
         RateShare share = RateShare.ofPeak(perSecond, processes);
         assertThat(share.holders()).isBetween(1, processes);
         assertThat(share.requests()).isPositive();
-        double most = share.holders() * share.requests() * (double) SECOND / share.windowNanos();
-        assertThat(most).isLessThanOrEqualTo(perSecond * 1.000001);
+        double maxPerSecond = share.holders() * share.requests() * (double) SECOND / share.windowNanos();
+        assertThat(maxPerSecond).isLessThanOrEqualTo(perSecond * 1.000001);
     }
 
-    // A process sends as fast as it may. Whichever second one looks at, it holds no more than its share.
+    // A process sends as fast as its share allows. No sliding window may contain more requests than the share.
     @Property(seed = "20261203")
-    void noWindowHoldsMoreThanAShare(
+    void noWindowContainsMoreRequestsThanTheShare(
             @ForAll @DoubleRange(min = 0.1, max = 20) double perSecond,
             @ForAll @IntRange(min = 1, max = 40) int processes,
-            @ForAll @IntRange(min = 1, max = 400) int everyMillis) {
+            @ForAll @IntRange(min = 1, max = 400) int intervalMillis) {
         RateShare share = RateShare.ofPeak(perSecond, processes);
-        SlidingWindowLog window = new SlidingWindowLog();
+        SlidingWindowLog log = new SlidingWindowLog();
         List<Long> sent = new ArrayList<>();
-        for (long now = 0; now < 12 * SECOND; now += everyMillis * 1_000_000L) {
-            if (window.allows(share, now)) {
-                window.recordRequest(now);
+        for (long now = 0; now < 12 * SECOND; now += intervalMillis * 1_000_000L) {
+            if (log.allows(share, now)) {
+                log.recordRequest(now);
                 sent.add(now);
             }
         }
@@ -57,37 +57,36 @@
     }
 
     @Property(seed = "20261203")
-    void theMeanSharesAddUpToWhatAWorkerTakes(
+    void meanSharesAddUpToTheWorkersRate(
             @ForAll @DoubleRange(min = 0, max = 1_000) double perSecond,
             @ForAll @IntRange(min = 1, max = 400) int processes) {
         RateShare share = RateShare.ofMean(perSecond, processes);
         assertThat(share.holders()).isBetween(1, processes);
-        double sum = share.holders() * share.requests() * (double) SECOND / share.windowNanos();
-        assertThat(sum).isCloseTo(Math.max(0.25, perSecond), Percentage.withPercentage(0.001));
+        double totalPerSecond = share.holders() * share.requests() * (double) SECOND / share.windowNanos();
+        assertThat(totalPerSecond).isCloseTo(Math.max(0.25, perSecond), Percentage.withPercentage(0.001));
     }
 
-    // All holders send as fast as they may, from whatever moment on. Over four seconds a worker has to get no more than
-    // one
-    // and a half times its limit, and five requests.
+    // All holders send as fast as their shares allow, each starting at a random time. In any four seconds the worker
+    // may get at most one and a half times its limit plus five requests.
     @Property(seed = "20261203", tries = 300)
-    void allHoldersTogetherKeepAWorkersLimit(
+    void allHoldersTogetherRespectTheWorkersLimit(
             @ForAll @DoubleRange(min = 0, max = 40) double perSecond,
             @ForAll @IntRange(min = 1, max = 100) int processes,
             @ForAll long seed) {
         RateShare share = RateShare.ofMean(perSecond, processes);
         Random random = new Random(seed);
-        List<Long> all = new ArrayList<>();
+        List<Long> sentByAll = new ArrayList<>();
         for (int holder = 0; holder < share.holders(); holder++) {
-            SlidingWindowLog window = new SlidingWindowLog();
+            SlidingWindowLog log = new SlidingWindowLog();
             for (long now = random.nextInt(3_000) * SECOND / 1_000; now < 15 * SECOND; now += 20_000_000L) {
-                if (window.allows(share, now)) {
-                    window.recordRequest(now);
-                    all.add(now);
+                if (log.allows(share, now)) {
+                    log.recordRequest(now);
+                    sentByAll.add(now);
                 }
             }
         }
-        for (long start : all) {
-            long count = all.stream()
+        for (long start : sentByAll) {
+            long count = sentByAll.stream()
                     .filter(at -> at >= start && at - start < 4 * SECOND)
                     .count();
             assertThat((double) count).isLessThanOrEqualTo(1.5 * 4 * perSecond + 5);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
@@ -21,28 +21,28 @@
     private final WorkerLimits limits = new WorkerLimits();
 
     @Test
-    void aWorkerThatNeverNamedALimitIsNoNews() {
+    void ignoresAWorkerThatNeverSetALimit() {
         assertThat(limits.updateFromWorker(WORKER, NONE, 0)).isFalse();
         assertThat(limits.updateFromPeer(new LimitNotice(WORKER, NONE, 0), 0)).isFalse();
         assertThat(limits.takeNotices(0)).isEmpty();
     }
 
     @Test
-    void newsIsToldThriceAndALimitOnceASecondAfterThat() {
+    void sendsAChangeThreeTimesAndThenTheLimitOncePerSecond() {
         limits.takeNotices(0);
         assertThat(limits.updateFromWorker(WORKER, LIMIT, 0)).isTrue();
         assertThat(limits.updateFromWorker(WORKER, LIMIT, MILLI)).isFalse();
-        int told = 0;
+        int sends = 0;
         for (long now = 0; now < SECOND; now += 100 * MILLI) {
-            told += limits.takeNotices(now).isEmpty() ? 0 : 1;
+            sends += limits.takeNotices(now).isEmpty() ? 0 : 1;
         }
-        assertThat(told).isEqualTo(3);
+        assertThat(sends).isEqualTo(3);
         assertThat(limits.takeNotices(2 * SECOND)).hasSize(1);
         assertThat(limits.takeNotices(2 * SECOND + 100 * MILLI)).isEmpty();
     }
 
     @Test
-    void theWorkersNewestWordCountsInWhicheverOrderNewsComes() {
+    void theMostRecentStatementWinsInAnyOrderOfNotices() {
         assertThat(limits.updateFromPeer(new LimitNotice(WORKER, LIMIT, 100), SECOND))
                 .isTrue();
         assertThat(limits.updateFromPeer(new LimitNotice(WORKER, NONE, 500), SECOND))
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aPeerThatIsBehindIsToldAgain() {
+    void sendsTheCurrentLimitAgainAfterAnOutdatedNotice() {
         limits.updateFromWorker(WORKER, LIMIT, 0);
         limits.updateFromWorker(WORKER, NONE, SECOND);
         for (int i = 0; i < 5; i++) {
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aNewPeerIsToldAtOnceWhichWorkersNameALimit() {
+    void sendsAllLimitsAtOnceWhenAPeerStarts() {
         limits.updateFromWorker(WORKER, LIMIT, 0);
         for (int i = 0; i < 5; i++) {
             limits.takeNotices(MILLI);
@@ -80,40 +80,41 @@
         assertThat(limits.takeNotices(MILLI)).hasSize(1);
     }
 
-    // Guards against a limit that peers hand round until it seems newer than the worker's word that it has ended.
+    // Guards against a limit that peers forward to each other until it seems more recent than the worker's statement
+    // that it no longer sets a limit.
     @Property(seed = "20261203", tries = 200)
-    void peersAgreeOnTheLastWordThoughMessagesAreLateAndLost(@ForAll long seed) {
+    void peersConvergeOnTheLastLimitAlthoughMessagesAreDelayedAndLost(@ForAll long seed) {
         Random random = new Random(seed);
         List<WorkerLimits> fleet = List.of(new WorkerLimits(), new WorkerLimits(), new WorkerLimits());
-        List<Message> underWay = new ArrayList<>();
-        OptionalDouble last = NONE;
+        List<Message> inFlight = new ArrayList<>();
+        OptionalDouble expected = NONE;
         for (long now = 0; now < 20 * SECOND; now += 50 * MILLI) {
             if (now < 10 * SECOND && now % SECOND == 0) {
                 WorkerLimits process = fleet.get(random.nextInt(3));
-                OptionalDouble named = random.nextBoolean() ? NONE : OptionalDouble.of(1 + random.nextInt(3));
-                boolean counts = named.isPresent() || process.limit(WORKER).isPresent();
-                process.updateFromWorker(WORKER, named, now);
-                last = counts ? named : last;
+                OptionalDouble limit = random.nextBoolean() ? NONE : OptionalDouble.of(1 + random.nextInt(3));
+                boolean isRelevant = limit.isPresent() || process.limit(WORKER).isPresent();
+                process.updateFromWorker(WORKER, limit, now);
+                expected = isRelevant ? limit : expected;
             }
-            exchange(fleet, underWay, random, now);
+            exchange(fleet, inFlight, random, now);
         }
         for (WorkerLimits process : fleet) {
-            assertThat(process.limit(WORKER)).isEqualTo(last);
+            assertThat(process.limit(WORKER)).isEqualTo(expected);
         }
     }
 
     private record Message(int to, LimitNotice notice, long atNanos) {}
 
-    private static void exchange(List<WorkerLimits> fleet, List<Message> underWay, Random random, long now) {
-        underWay.stream()
+    private static void exchange(List<WorkerLimits> fleet, List<Message> inFlight, Random random, long now) {
+        inFlight.stream()
                 .filter(message -> message.atNanos() <= now)
                 .forEach(message -> fleet.get(message.to()).updateFromPeer(message.notice(), now));
-        underWay.removeIf(message -> message.atNanos() <= now);
+        inFlight.removeIf(message -> message.atNanos() <= now);
         for (int from = 0; from < fleet.size(); from++) {
             for (LimitNotice notice : fleet.get(from).takeNotices(now)) {
                 for (int to = 0; to < fleet.size(); to++) {
                     if (to != from && random.nextInt(4) > 0) {
-                        underWay.add(new Message(to, notice, now + random.nextInt(20) * MILLI));
+                        inFlight.add(new Message(to, notice, now + random.nextInt(20) * MILLI));
                     }
                 }
             }
