--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/CrashNotice.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/CrashNotice.java
@@ -1,23 +1,23 @@
 package org.dotterelcourse.policy.quarantine;
 
 /**
- * What processes tell each other of a request that was at a worker when it crashed. Times are ages, because the processes'
- * clocks differ.
+ * Notice about the end of a run of a request that may crash workers, exchanged between the processes of a fleet.
+ * Carries ages instead of times, because the clocks of processes differ.
  *
- * @param request which request
- * @param ending how its run ended
+ * @param request fingerprint of the request
+ * @param ending how the run ended
  * @param worker incarnation of the worker that crashed, 0 if none did
- * @param runMillis how long the worker had it
- * @param agoMillis how long ago the run ended
+ * @param runMillis time in milliseconds for which the worker had the request
+ * @param agoMillis time in milliseconds since the run ended
  */
 public record CrashNotice(Fingerprint request, Ending ending, int worker, long runMillis, long agoMillis) {
     /** How a run ended. */
     public enum Ending {
-        /** It came to its end: whatever crashed workers before, it was not this request. */
+        /** The run completed, so that this request did not cause any of the earlier crashes. */
         FINISHED,
-        /** The worker crashed before there was any output. */
+        /** The worker crashed before it produced any output. */
         CRASHED_BEFORE_OUTPUT,
-        /** The worker crashed while output was coming, which speaks for the request in part. */
+        /** The worker crashed while it produced output, which is weaker evidence against the request. */
         CRASHED_DURING_OUTPUT
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/CrashRecord.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/CrashRecord.java
@@ -6,26 +6,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** The crashes under one request that have not been explained otherwise. */
+/**
+ * The crashes of workers that ran one request. Crashes before the end of a run that finished are removed, because the
+ * request did not cause them.
+ */
 final class CrashRecord {
     private static final int WEIGHT_BEFORE_OUTPUT = 2;
     private static final int WEIGHT_DURING_OUTPUT = 1;
 
-    private final Map<Integer, Mark> marks = new HashMap<>();
-    private boolean finished;
+    /** By incarnation of the worker: each incarnation crashes only once. */
+    private final Map<Integer, Crash> crashes = new HashMap<>();
+
+    private boolean hasFinishedRun;
     private long finishedNanos;
-    private long touchedNanos;
+    private long updatedNanos;
 
     /**
-     * A run that ended with its worker.
+     * A run that ended because its worker crashed.
      *
      * @param worker incarnation of the worker
-     * @param weight how much it speaks against the request
-     * @param sentNanos when the worker got it
-     * @param crashedNanos when the worker crashed
+     * @param weight weight as evidence against the request
+     * @param sentNanos monotonic time in nanoseconds at which the worker got the request
+     * @param crashedNanos monotonic time in nanoseconds at which the worker crashed
      */
-    record Mark(int worker, int weight, long sentNanos, long crashedNanos) {
-        CrashNotice notice(Fingerprint request, long nowNanos) {
+    record Crash(int worker, int weight, long sentNanos, long crashedNanos) {
+        CrashNotice toNotice(Fingerprint request, long nowNanos) {
             CrashNotice.Ending ending = weight == WEIGHT_BEFORE_OUTPUT
                     ? CrashNotice.Ending.CRASHED_BEFORE_OUTPUT
                     : CrashNotice.Ending.CRASHED_DURING_OUTPUT;
@@ -42,57 +47,57 @@
         return beforeOutput ? WEIGHT_BEFORE_OUTPUT : WEIGHT_DURING_OUTPUT;
     }
 
-    /** Whether this is news. A worker crashes once, so that its incarnation tells the mark. */
-    boolean crashed(Mark mark, long nowNanos) {
-        boolean explained = finished && mark.crashedNanos() - finishedNanos <= 0;
-        if (explained || marks.putIfAbsent(mark.worker(), mark) != null) {
+    /** Adds a crash; returns false if it is already recorded or precedes a run that finished. */
+    boolean addCrash(Crash crash, long nowNanos) {
+        boolean cleared = hasFinishedRun && crash.crashedNanos() - finishedNanos <= 0;
+        if (cleared || crashes.putIfAbsent(crash.worker(), crash) != null) {
             return false;
         }
-        touchedNanos = nowNanos;
+        updatedNanos = nowNanos;
         return true;
     }
 
-    /** Whether this is news. */
-    boolean finished(long atNanos, long nowNanos) {
-        if (finished && atNanos - finishedNanos <= 0) {
+    /** Removes the crashes up to the end of a run that finished; returns whether there were any. */
+    boolean recordFinishedRun(long endNanos, long nowNanos) {
+        if (hasFinishedRun && endNanos - finishedNanos <= 0) {
             return false;
         }
-        finished = true;
-        finishedNanos = atNanos;
-        touchedNanos = nowNanos;
-        return marks.values().removeIf(mark -> mark.crashedNanos() - atNanos <= 0);
+        hasFinishedRun = true;
+        finishedNanos = endNanos;
+        updatedNanos = nowNanos;
+        return crashes.values().removeIf(crash -> crash.crashedNanos() - endNanos <= 0);
     }
 
-    void forget(long beforeNanos) {
-        marks.values().removeIf(mark -> mark.crashedNanos() - beforeNanos < 0);
+    void removeCrashesBefore(long timeNanos) {
+        crashes.values().removeIf(crash -> crash.crashedNanos() - timeNanos < 0);
     }
 
-    boolean outdated(long beforeNanos) {
-        return marks.isEmpty() && touchedNanos - beforeNanos < 0;
+    boolean isExpired(long timeNanos) {
+        return crashes.isEmpty() && updatedNanos - timeNanos < 0;
     }
 
-    boolean suspected() {
-        return !marks.isEmpty();
+    boolean hasCrashes() {
+        return !crashes.isEmpty();
     }
 
-    long touchedNanos() {
-        return touchedNanos;
+    long updatedNanos() {
+        return updatedNanos;
     }
 
     /**
-     * Crashes that came one after the other: a run counts only if it began after the one before had ended. Workers that
-     * crash together, under requests of the same content, are one event.
+     * Returns the consecutive crashes: a run counts only if it began after the previous one in the list had ended.
+     * Workers that crash at the same time while they run copies of the request count as one crash.
      */
-    List<Mark> chain() {
-        List<Mark> ordered = new ArrayList<>(marks.values());
-        ordered.sort(Comparator.comparingLong(Mark::crashedNanos));
-        List<Mark> chain = new ArrayList<>();
-        for (Mark mark : ordered) {
-            if (chain.isEmpty()
-                    || mark.sentNanos() - chain.get(chain.size() - 1).crashedNanos() > 0) {
-                chain.add(mark);
+    List<Crash> consecutiveCrashes() {
+        List<Crash> ordered = new ArrayList<>(crashes.values());
+        ordered.sort(Comparator.comparingLong(Crash::crashedNanos));
+        List<Crash> counted = new ArrayList<>();
+        for (Crash crash : ordered) {
+            if (counted.isEmpty()
+                    || crash.sentNanos() - counted.get(counted.size() - 1).crashedNanos() > 0) {
+                counted.add(crash);
             }
         }
-        return chain;
+        return counted;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/Fingerprint.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/Fingerprint.java
@@ -6,20 +6,21 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * What stays the same when a client sends a request again, while its id, its time limit and the process that takes it
- * change. It is cut from a cryptographic digest (SHA-256), so that no client can make one that equals another's.
+ * Identifies a request by its content, so that a request that a client sends again is recognized although its id, its
+ * deadline and the process that receives it differ. Uses a cryptographic digest (SHA-256), so that no client can
+ * construct a request with the fingerprint of another client's.
  *
- * @param value the digest's first 64 bits
+ * @param value the first 64 bits of the digest
  */
 public record Fingerprint(long value) {
     /**
-     * Computes a request's fingerprint.
+     * Computes the fingerprint of a request.
      *
-     * @param customer whose request it is, empty if nobody's
-     * @param method its HTTP method
-     * @param uri path and query as the client sent them
-     * @param body its whole body
-     * @return equal for requests that have all of these in common
+     * @param customer the name of the customer that sent the request, empty if there is none
+     * @param method the HTTP method
+     * @param uri path and query as sent by the client
+     * @param body the complete body
+     * @return the fingerprint, equal for requests that have all of these in common
      */
     public static Fingerprint of(String customer, String method, String uri, byte[] body) {
         MessageDigest digest = sha256();
@@ -30,7 +31,7 @@
         return new Fingerprint(ByteBuffer.wrap(digest.digest()).getLong());
     }
 
-    /** The length goes first, so that bytes moved from one part to the next give another digest. */
+    /** Prefixes the part with its length, so that moving bytes from one part to the next changes the digest. */
     private static void update(MessageDigest digest, byte[] part) {
         digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, part.length));
         digest.update(part);
@@ -40,7 +41,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available, but every Java platform must support it", e);
         }
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/RequestQuarantine.java
@@ -13,230 +13,244 @@
 import org.dotterelcourse.policy.quarantine.CrashNotice.Ending;
 
 /**
- * Refuses requests that crash the workers which run them.
+ * Rejects requests that crash the workers which run them. The crashes that one process sees are replicated to the
+ * others by gossip, and each process derives its verdicts from all known crashes.
  *
- * <p>It answers a request whose content ends any worker that begins to run it, while its caller sends it again: each repeat
- * has a new id and comes to another process, so that a bound on attempts never sees more than one, and each costs a worker
- * and all that runs there. Repeats are joined by their {@link Fingerprint}. Two crashes, one after the other, put a request
- * into quarantine; a run that finishes ends it. What one process sees all learn by notices, which may come in any order,
- * late and more than once.
+ * <p>Answers a request whose content crashes any worker that starts to run it, while its client keeps retrying. Each
+ * retry has a new id and may reach another process, so that a limit on attempts per request never sees more than one
+ * of them, and each one costs a worker with everything that runs there. Retries are recognized by their {@link
+ * Fingerprint}. Two consecutive crashes put a request into quarantine, and a run that finishes releases it. Notices
+ * of peers may arrive late, repeatedly and in any order.
  */
 public final class RequestQuarantine {
     static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** How long a crash counts; after that the request may be tried once more. */
-    private static final long COUNTED_NANOS = 600_000 * NANOS_PER_MILLI;
+    /** Time for which a crash counts. After that, the request may be tried once more. */
+    private static final long CRASH_RETENTION_NANOS = 600_000 * NANOS_PER_MILLI;
 
-    /** Two crashes before any output, four during it, or a mixture. */
-    private static final int HELD_WEIGHT = 4;
+    /** Weight that puts a request into quarantine: two crashes before any output, four during output, or a mixture. */
+    private static final int QUARANTINE_WEIGHT = 4;
 
-    /** Records that are kept; beyond it those with the fewest crashes go first. */
-    private static final int MOST_RECORDS = 1_024;
+    /** Maximum number of records. Beyond it, the record with the lowest weight of crashes is evicted. */
+    private static final int MAX_RECORDS = 1_024;
 
-    /** How often news is told, because messages get lost. */
-    private static final int TELL_TIMES = 3;
+    /** Number of times that a new notice is sent, because messages get lost. */
+    private static final int SEND_COUNT = 3;
 
-    private static final int MOST_NEWS = 12;
-    private static final int MOST_UNTOLD = 256;
+    private static final int MAX_UPDATES = 12;
+    private static final int MAX_UNSENT = 256;
 
-    /** Requests in quarantine are told again this often, for processes that have started since. */
-    private static final long REMIND_NANOS = 1_000 * NANOS_PER_MILLI;
+    /** Interval at which the requests in quarantine are sent again, for processes that have started since. */
+    private static final long REMINDER_INTERVAL_NANOS = 1_000 * NANOS_PER_MILLI;
 
-    private static final int MOST_REMINDERS = 4;
+    /** Maximum number of requests per reminder. */
+    private static final int MAX_REMINDERS = 4;
 
-    private static final long CLEAN_NANOS = 10_000 * NANOS_PER_MILLI;
+    private static final long CLEANUP_INTERVAL_NANOS = 10_000 * NANOS_PER_MILLI;
 
     private final Map<Fingerprint, CrashRecord> records = new HashMap<>();
-    private final Deque<News> untold = new ArrayDeque<>();
+    private final Deque<UnsentNotice> unsent = new ArrayDeque<>();
     private final Set<Fingerprint> reminders = new LinkedHashSet<>();
-    private boolean remindSoon = true;
+    private boolean areRemindersDue = true;
     private long remindedNanos;
-    private long cleanedNanos;
+    private long cleanedUpNanos;
 
-    /** A notice with the time at which it was made, and how often it is still to be told. */
-    private record News(CrashNotice notice, long madeNanos, int times) {
-        CrashNotice aged(long nowNanos) {
-            long more = (nowNanos - madeNanos) / NANOS_PER_MILLI;
+    /** A notice with the time of its creation, and how often it remains to be sent. */
+    private record UnsentNotice(CrashNotice notice, long createdNanos, int remainingSends) {
+        /** Returns the notice with its age at the given time. */
+        CrashNotice at(long nowNanos) {
+            long ageMillis = (nowNanos - createdNanos) / NANOS_PER_MILLI;
             return new CrashNotice(
-                    notice.request(), notice.ending(), notice.worker(), notice.runMillis(), notice.agoMillis() + more);
+                    notice.request(),
+                    notice.ending(),
+                    notice.worker(),
+                    notice.runMillis(),
+                    notice.agoMillis() + ageMillis);
         }
 
-        News toldOnce() {
-            return new News(notice, madeNanos, times - 1);
+        UnsentNotice afterSend() {
+            return new UnsentNotice(notice, createdNanos, remainingSends - 1);
         }
     }
 
     /**
-     * Whether no request is known under which a worker crashed, so that fingerprints need not be computed.
+     * Returns whether there are no records at all, so that fingerprints need not be computed.
      *
-     * @return true in the usual case
+     * @return true if no crash is recorded for any request, which is the usual case
      */
     public boolean isEmpty() {
         return records.isEmpty();
     }
 
     /**
-     * Judges a request.
+     * Decides whether a request may be sent to a worker.
      *
-     * @param request its fingerprint
-     * @param nowNanos the time
-     * @return whether it may be sent to a worker
+     * @param request the request's fingerprint
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return the decision
      */
     public Verdict verdict(Fingerprint request, long nowNanos) {
-        CrashRecord found = records.get(request);
-        if (found == null) {
+        CrashRecord record = records.get(request);
+        if (record == null) {
             return new Verdict.Allowed();
         }
-        found.forget(nowNanos - COUNTED_NANOS);
-        if (!found.suspected()) {
+        record.removeCrashesBefore(nowNanos - CRASH_RETENTION_NANOS);
+        if (!record.hasCrashes()) {
             return new Verdict.Allowed();
         }
-        List<CrashRecord.Mark> chain = found.chain();
-        if (weight(chain) < HELD_WEIGHT) {
+        List<CrashRecord.Crash> crashes = record.consecutiveCrashes();
+        if (weight(crashes) < QUARANTINE_WEIGHT) {
             return new Verdict.Suspect();
         }
-        long endNanos = chain.get(0).crashedNanos() + COUNTED_NANOS;
+        long endNanos = crashes.get(0).crashedNanos() + CRASH_RETENTION_NANOS;
         return new Verdict.Quarantined((endNanos - nowNanos) / NANOS_PER_MILLI);
     }
 
     /**
-     * Something happened to a run of a request, at this process or at one that tells of it.
+     * Applies the end of a run, observed by this process or reported by a peer.
      *
-     * @param notice what happened
-     * @param nowNanos the time
+     * @param notice the request and how its run ended
+     * @param nowNanos the current monotonic time in nanoseconds
      * @return whether this put the request into quarantine
      */
     public boolean applyNotice(CrashNotice notice, long nowNanos) {
         long endedNanos = nowNanos - notice.agoMillis() * NANOS_PER_MILLI;
-        CrashRecord known = records.get(notice.request());
-        if (known == null && notice.ending() == Ending.FINISHED) {
+        CrashRecord existing = records.get(notice.request());
+        if (existing == null && notice.ending() == Ending.FINISHED) {
             return false;
         }
-        boolean heldBefore = held(notice.request(), nowNanos);
-        CrashRecord record = known == null ? create(notice.request(), nowNanos) : known;
-        boolean news = notice.ending() == Ending.FINISHED
-                ? record.finished(endedNanos, nowNanos)
-                : record.crashed(mark(notice, endedNanos), nowNanos);
-        if (!news) {
+        boolean wasQuarantined = isQuarantined(notice.request(), nowNanos);
+        CrashRecord record = existing == null ? createRecord(notice.request(), nowNanos) : existing;
+        boolean changed = notice.ending() == Ending.FINISHED
+                ? record.recordFinishedRun(endedNanos, nowNanos)
+                : record.addCrash(toCrash(notice, endedNanos), nowNanos);
+        if (!changed) {
             return false;
         }
-        tell(notice, nowNanos);
-        boolean held = held(notice.request(), nowNanos);
-        if (held && !heldBefore) {
+        enqueueNotice(notice, nowNanos);
+        boolean isQuarantined = isQuarantined(notice.request(), nowNanos);
+        if (isQuarantined && !wasQuarantined) {
             reminders.add(notice.request());
         }
-        return held && !heldBefore;
+        return isQuarantined && !wasQuarantined;
     }
 
-    private static CrashRecord.Mark mark(CrashNotice notice, long crashedNanos) {
-        return new CrashRecord.Mark(
+    private static CrashRecord.Crash toCrash(CrashNotice notice, long crashedNanos) {
+        return new CrashRecord.Crash(
                 notice.worker(),
                 CrashRecord.weight(notice.ending() == Ending.CRASHED_BEFORE_OUTPUT),
                 crashedNanos - notice.runMillis() * NANOS_PER_MILLI,
                 crashedNanos);
     }
 
-    private boolean held(Fingerprint request, long nowNanos) {
+    private boolean isQuarantined(Fingerprint request, long nowNanos) {
         return verdict(request, nowNanos) instanceof Verdict.Quarantined;
     }
 
-    private static int weight(List<CrashRecord.Mark> chain) {
-        return chain.stream().mapToInt(CrashRecord.Mark::weight).sum();
+    private static int weight(List<CrashRecord.Crash> crashes) {
+        return crashes.stream().mapToInt(CrashRecord.Crash::weight).sum();
     }
 
-    private CrashRecord create(Fingerprint request, long nowNanos) {
-        if (records.size() >= MOST_RECORDS) {
-            makeRoom(nowNanos);
+    private CrashRecord createRecord(Fingerprint request, long nowNanos) {
+        if (records.size() >= MAX_RECORDS) {
+            evictRecord(nowNanos);
         }
         CrashRecord record = new CrashRecord();
         records.put(request, record);
         return record;
     }
 
-    private void makeRoom(long nowNanos) {
-        clean(nowNanos);
-        if (records.size() >= MOST_RECORDS) {
+    /** Removes expired records or, if there are none, evicts the least recently updated one of the lowest weight. */
+    private void evictRecord(long nowNanos) {
+        cleanUp(nowNanos);
+        if (records.size() >= MAX_RECORDS) {
             records.entrySet().stream()
                     .min(Comparator.<Map.Entry<Fingerprint, CrashRecord>>comparingInt(
-                                    entry -> weight(entry.getValue().chain()))
-                            .thenComparingLong(entry -> entry.getValue().touchedNanos() - nowNanos))
-                    .ifPresent(least -> records.remove(least.getKey()));
+                                    entry -> weight(entry.getValue().consecutiveCrashes()))
+                            .thenComparingLong(entry -> entry.getValue().updatedNanos() - nowNanos))
+                    .ifPresent(lowest -> records.remove(lowest.getKey()));
         }
     }
 
-    private void clean(long nowNanos) {
-        cleanedNanos = nowNanos;
-        long beforeNanos = nowNanos - COUNTED_NANOS;
-        records.values().forEach(record -> record.forget(beforeNanos));
-        records.values().removeIf(record -> record.outdated(beforeNanos));
+    private void cleanUp(long nowNanos) {
+        cleanedUpNanos = nowNanos;
+        long retainedSinceNanos = nowNanos - CRASH_RETENTION_NANOS;
+        records.values().forEach(record -> record.removeCrashesBefore(retainedSinceNanos));
+        records.values().removeIf(record -> record.isExpired(retainedSinceNanos));
     }
 
     /**
-     * Crashes during output come by the dozen when a worker with many streams ends, and say little. They must not hold up
-     * those before output, which decide.
+     * Enqueues a notice for the peers. Crashes during output go to the end: they come by the dozen when a worker with
+     * many streams crashes and are weak evidence, so they must not delay the crashes before output, which are
+     * decisive.
      */
-    private void tell(CrashNotice notice, long nowNanos) {
-        News news = new News(notice, nowNanos, TELL_TIMES);
+    private void enqueueNotice(CrashNotice notice, long nowNanos) {
+        UnsentNotice entry = new UnsentNotice(notice, nowNanos, SEND_COUNT);
         if (notice.ending() == Ending.CRASHED_DURING_OUTPUT) {
-            untold.addLast(news);
+            unsent.addLast(entry);
         } else {
-            untold.addFirst(news);
+            unsent.addFirst(entry);
         }
-        if (untold.size() > MOST_UNTOLD) {
-            untold.removeLast();
+        if (unsent.size() > MAX_UNSENT) {
+            unsent.removeLast();
         }
     }
 
-    /** A peer may have started: it is told with the next notices what is held, before clients send it the same. */
+    /**
+     * Sends the requests in quarantine again with the next notices, because a peer may have started and clients may
+     * send them to it.
+     */
     public void scheduleReminders() {
-        remindSoon = true;
+        areRemindersDue = true;
     }
 
     /**
-     * What to tell the peers now: news, and now and then the requests in quarantine, for processes that have started since.
+     * Returns the notices to send to the peers now: new ones and, at intervals, those of the requests in quarantine,
+     * for processes that have started since.
      *
-     * @param nowNanos the time
+     * @param nowNanos the current monotonic time in nanoseconds
      * @return a bounded number of notices, usually none
      */
     public List<CrashNotice> takeNotices(long nowNanos) {
         if (records.isEmpty()) {
             return List.of();
         }
-        if (nowNanos - cleanedNanos > CLEAN_NANOS) {
-            clean(nowNanos);
+        if (nowNanos - cleanedUpNanos > CLEANUP_INTERVAL_NANOS) {
+            cleanUp(nowNanos);
         }
-        List<CrashNotice> notices = takeNews(nowNanos);
-        if (remindSoon || nowNanos - remindedNanos > REMIND_NANOS) {
-            remindSoon = false;
+        List<CrashNotice> notices = takeUnsent(nowNanos);
+        if (areRemindersDue || nowNanos - remindedNanos > REMINDER_INTERVAL_NANOS) {
+            areRemindersDue = false;
             remindedNanos = nowNanos;
-            remind(notices, nowNanos);
+            addReminders(notices, nowNanos);
         }
         return notices;
     }
 
-    private List<CrashNotice> takeNews(long nowNanos) {
+    private List<CrashNotice> takeUnsent(long nowNanos) {
         List<CrashNotice> notices = new ArrayList<>();
-        List<News> again = new ArrayList<>();
-        while (notices.size() < MOST_NEWS && !untold.isEmpty()) {
-            News news = untold.removeFirst();
-            notices.add(news.aged(nowNanos));
-            if (news.times() > 1) {
-                again.add(news.toldOnce());
+        List<UnsentNotice> toResend = new ArrayList<>();
+        while (notices.size() < MAX_UPDATES && !unsent.isEmpty()) {
+            UnsentNotice entry = unsent.removeFirst();
+            notices.add(entry.at(nowNanos));
+            if (entry.remainingSends() > 1) {
+                toResend.add(entry.afterSend());
             }
         }
-        untold.addAll(again);
+        unsent.addAll(toResend);
         return notices;
     }
 
-    private void remind(List<CrashNotice> notices, long nowNanos) {
-        List<Fingerprint> turn = reminders.stream().limit(MOST_REMINDERS).toList();
-        for (Fingerprint request : turn) {
+    /** Adds the crashes of the next requests in quarantine, in round-robin order. */
+    private void addReminders(List<CrashNotice> notices, long nowNanos) {
+        List<Fingerprint> requests = reminders.stream().limit(MAX_REMINDERS).toList();
+        for (Fingerprint request : requests) {
             reminders.remove(request);
-            if (held(request, nowNanos)) {
+            if (isQuarantined(request, nowNanos)) {
                 reminders.add(request);
-                records.get(request).chain().stream()
-                        .limit(HELD_WEIGHT)
-                        .forEach(mark -> notices.add(mark.notice(request, nowNanos)));
+                records.get(request).consecutiveCrashes().stream()
+                        .limit(QUARANTINE_WEIGHT)
+                        .forEach(crash -> notices.add(crash.toNotice(request, nowNanos)));
             }
         }
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/Verdict.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/Verdict.java
@@ -1,17 +1,20 @@
 package org.dotterelcourse.policy.quarantine;
 
-/** Whether a request may be sent to a worker. */
+/** Decision whether a request may be sent to a worker. */
 public sealed interface Verdict {
-    /** Nothing speaks against it. */
+    /** No unexplained crash is recorded for the request: it may run. */
     record Allowed() implements Verdict {}
 
-    /** A worker crashed under it, which may be chance: it may run, but not beside another suspect. */
+    /**
+     * A worker crashed while it ran the request, possibly by coincidence: the request may run, but not on the same
+     * worker as another suspect.
+     */
     record Suspect() implements Verdict {}
 
     /**
-     * It crashes workers and may not run.
+     * The request has repeatedly crashed workers: it must not run.
      *
-     * @param retryAfterMillis when it may be tried once more
+     * @param retryAfterMillis time in milliseconds after which the request may be tried once more
      */
     record Quarantined(long retryAfterMillis) implements Verdict {}
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Requests under which workers crash: how they are recognised when they come again, and when they are refused. */
+/** Quarantine of requests that crash workers: recognition of their retries, and replication among the processes. */
 package org.dotterelcourse.policy.quarantine;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/FingerprintTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/FingerprintTest.java
@@ -10,15 +10,15 @@
 
 class FingerprintTest {
     @Property(tries = 200, seed = "20261203")
-    void theSameRequestHasTheSameFingerprint(@ForAll String customer, @ForAll String uri, @ForAll byte[] body) {
+    void equalRequestsHaveEqualFingerprints(@ForAll String customer, @ForAll String uri, @ForAll byte[] body) {
         assertThat(Fingerprint.of(customer, "POST", uri, body.clone()))
                 .isEqualTo(Fingerprint.of(customer, "POST", uri, body));
     }
 
     @Test
-    void customerMethodPathAndBodyEachMakeADifference() {
-        Fingerprint one = of("bank", "POST", "/a/1", "x");
-        assertThat(one)
+    void customerMethodPathAndBodyEachChangeTheFingerprint() {
+        Fingerprint fingerprint = of("bank", "POST", "/a/1", "x");
+        assertThat(fingerprint)
                 .isNotEqualTo(of("school", "POST", "/a/1", "x"))
                 .isNotEqualTo(of("bank", "PUT", "/a/1", "x"))
                 .isNotEqualTo(of("bank", "POST", "/a/2", "x"))
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void bytesMovedFromOnePartToTheNextMakeADifference() {
+    void movingBytesBetweenPartsChangesTheFingerprint() {
         assertThat(of("ab", "POST", "/", "")).isNotEqualTo(of("a", "bPOST", "/", ""));
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantinePropertyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantinePropertyTest.java
@@ -14,88 +14,88 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class RequestQuarantinePropertyTest {
-    private static final long MILLISECOND = 1_000_000L;
-    private static final long NOW = 10_000_000 * MILLISECOND;
-    private static final int PROCESSES = 8;
-    private static final int SENDS = 40;
-    private static final int KNOWN_AFTER_CRASHES = 3;
-    private static final int MOST_SENDS_WHEN_KNOWN = 3;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NOW_NANOS = 10_000_000 * NANOS_PER_MILLI;
+    private static final int PROCESS_COUNT = 8;
+    private static final int SEND_COUNT = 40;
+    private static final int MAX_CRASHES = 3;
+    private static final int MAX_MISSED_REJECTIONS = 3;
     private static final Fingerprint REQUEST = new Fingerprint(7);
 
     @Property(tries = 500, seed = "20261203")
-    void theOrderInWhichNoticesComeAndRepeatsOfThemMakeNoDifference(
+    void theVerdictDoesNotDependOnTheOrderOrRepetitionOfNotices(
             @ForAll @Size(max = 8) List<@IntRange(max = 20_000) Integer> ages, @ForAll long seed) {
         List<CrashNotice> notices = new ArrayList<>();
         for (int i = 0; i < ages.size(); i++) {
             Ending ending = Ending.values()[ages.get(i) % Ending.values().length];
             notices.add(new CrashNotice(REQUEST, ending, i + 1, 150, ages.get(i)));
         }
-        // A finished run of a request that nobody suspects is not kept.
+        // A finished run is not recorded while there is no crash, so a crash goes first in both orders.
         notices.add(0, new CrashNotice(REQUEST, Ending.CRASHED_BEFORE_OUTPUT, 100, 150, 30_000));
-        RequestQuarantine one = learned(notices);
-        List<CrashNotice> others = new ArrayList<>(notices.subList(1, notices.size()));
-        others.addAll(others);
-        Collections.shuffle(others, new Random(seed));
-        others.add(0, notices.get(0));
-        assertThat(learned(others).verdict(REQUEST, NOW)).isEqualTo(one.verdict(REQUEST, NOW));
+        RequestQuarantine inOrder = quarantineWith(notices);
+        List<CrashNotice> shuffled = new ArrayList<>(notices.subList(1, notices.size()));
+        shuffled.addAll(shuffled);
+        Collections.shuffle(shuffled, new Random(seed));
+        shuffled.add(0, notices.get(0));
+        assertThat(quarantineWith(shuffled).verdict(REQUEST, NOW_NANOS)).isEqualTo(inOrder.verdict(REQUEST, NOW_NANOS));
     }
 
-    private static RequestQuarantine learned(List<CrashNotice> notices) {
+    private static RequestQuarantine quarantineWith(List<CrashNotice> notices) {
         RequestQuarantine quarantine = new RequestQuarantine();
-        notices.forEach(notice -> quarantine.applyNotice(notice, NOW));
+        notices.forEach(notice -> quarantine.applyNotice(notice, NOW_NANOS));
         return quarantine;
     }
 
     @Property(tries = 300, seed = "20261203")
-    void aFleetStopsACrashingRequestAfterAFewCrashesThoughThirdsOfItsMessagesAreLost(
-            @ForAll Random random, @ForAll @IntRange(min = 200, max = 2_000) int gapMillis) {
-        SimulatedFleet fleet = new SimulatedFleet(PROCESSES, random);
-        for (int i = 0; i < SENDS; i++) {
+    void aFleetStopsACrashingRequestAfterAFewCrashesAlthoughAThirdOfItsMessagesIsLost(
+            @ForAll Random random, @ForAll @IntRange(min = 200, max = 2_000) int intervalMillis) {
+        SimulatedFleet fleet = new SimulatedFleet(PROCESS_COUNT, random);
+        for (int i = 0; i < SEND_COUNT; i++) {
             fleet.send();
-            fleet.exchange(gapMillis);
+            fleet.exchange(intervalMillis);
         }
-        assertThat(fleet.crashes()).isLessThanOrEqualTo(KNOWN_AFTER_CRASHES);
+        assertThat(fleet.crashes()).isLessThanOrEqualTo(MAX_CRASHES);
     }
 
     @Property(tries = 300, seed = "20261203")
-    void processesThatStartAgainOneAfterTheOtherLearnItFromTheirPeers(
-            @ForAll Random random, @ForAll @IntRange(min = 200, max = 2_000) int gapMillis) {
-        SimulatedFleet fleet = new SimulatedFleet(PROCESSES, random);
-        for (int i = 0; i < SENDS; i++) {
+    void processesThatRestartOneByOneRelearnTheQuarantineFromTheirPeers(
+            @ForAll Random random, @ForAll @IntRange(min = 200, max = 2_000) int intervalMillis) {
+        SimulatedFleet fleet = new SimulatedFleet(PROCESS_COUNT, random);
+        for (int i = 0; i < SEND_COUNT; i++) {
             fleet.send();
-            fleet.exchange(gapMillis);
+            fleet.exchange(intervalMillis);
             if (i % 4 == 0) {
-                fleet.restart(random.nextInt(PROCESSES));
+                fleet.restart(random.nextInt(PROCESS_COUNT));
             }
         }
-        assertThat(fleet.sendsWhenKnown()).isLessThanOrEqualTo(MOST_SENDS_WHEN_KNOWN);
+        assertThat(fleet.missedRejections()).isLessThanOrEqualTo(MAX_MISSED_REJECTIONS);
     }
 
     @Property(tries = 300, seed = "20261203")
-    void aFleetThatLosesAllItKnewStopsTheRequestAgain(
+    void aFleetThatLosesAllItsRecordsStopsTheRequestAgain(
             @ForAll Random random,
-            @ForAll @IntRange(min = 200, max = 2_000) int gapMillis,
-            @ForAll @IntRange(max = SENDS - 1) int allLost) {
-        SimulatedFleet fleet = new SimulatedFleet(PROCESSES, random);
-        for (int i = 0; i < SENDS; i++) {
+            @ForAll @IntRange(min = 200, max = 2_000) int intervalMillis,
+            @ForAll @IntRange(max = SEND_COUNT - 1) int restartAllAfter) {
+        SimulatedFleet fleet = new SimulatedFleet(PROCESS_COUNT, random);
+        for (int i = 0; i < SEND_COUNT; i++) {
             fleet.send();
-            fleet.exchange(gapMillis);
-            if (i == allLost) {
+            fleet.exchange(intervalMillis);
+            if (i == restartAllAfter) {
                 fleet.restartAll();
             }
         }
-        assertThat(fleet.sendsWhenKnown()).isLessThanOrEqualTo(MOST_SENDS_WHEN_KNOWN);
+        assertThat(fleet.missedRejections()).isLessThanOrEqualTo(MAX_MISSED_REJECTIONS);
     }
 
     @Property(tries = 300, seed = "20261203")
-    void aProcessThatNoPeerReachesFindsOutByItself(
-            @ForAll Random random, @ForAll @IntRange(min = 200, max = 2_000) int gapMillis) {
-        SimulatedFleet fleet = new SimulatedFleet(PROCESSES, random);
-        fleet.cutOff(random.nextInt(PROCESSES));
-        for (int i = 0; i < 4 * SENDS; i++) {
+    void aProcessWithoutConnectionToItsPeersQuarantinesTheRequestByItself(
+            @ForAll Random random, @ForAll @IntRange(min = 200, max = 2_000) int intervalMillis) {
+        SimulatedFleet fleet = new SimulatedFleet(PROCESS_COUNT, random);
+        fleet.isolate(random.nextInt(PROCESS_COUNT));
+        for (int i = 0; i < 4 * SEND_COUNT; i++) {
             fleet.send();
-            fleet.exchange(gapMillis);
+            fleet.exchange(intervalMillis);
         }
-        assertThat(fleet.sendsWhenKnown()).isLessThanOrEqualTo(MOST_SENDS_WHEN_KNOWN);
+        assertThat(fleet.missedRejections()).isLessThanOrEqualTo(MAX_MISSED_REJECTIONS);
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
@@ -10,20 +10,20 @@
 class RequestQuarantineTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long START = 1_000 * SECOND;
-    private static final long COUNTED = 600 * SECOND;
+    private static final long CRASH_RETENTION = 600 * SECOND;
     private static final Fingerprint REQUEST = new Fingerprint(7);
     private static final Fingerprint OTHER = new Fingerprint(8);
 
     private final RequestQuarantine quarantine = new RequestQuarantine();
 
     @Test
-    void aRequestIsFreeWhileNoWorkerHasCrashedUnderIt() {
+    void allowsARequestWithoutACrash() {
         crash(OTHER, 1, START);
         assertThat(quarantine.verdict(REQUEST, START)).isInstanceOf(Verdict.Allowed.class);
     }
 
     @Test
-    void oneCrashMakesASuspectAndTheNextOneHoldsIt() {
+    void oneCrashMakesARequestSuspectAndTheNextOneQuarantinesIt() {
         crash(REQUEST, 1, START);
         assertThat(quarantine.verdict(REQUEST, START)).isInstanceOf(Verdict.Suspect.class);
         crash(REQUEST, 2, START + SECOND);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void workersThatCrashTogetherUnderRepeatsOfARequestCountOnce() {
+    void workersThatCrashTogetherOnCopiesOfARequestCountOnce() {
         crash(REQUEST, 1, START);
         crash(REQUEST, 2, START + SECOND / 100);
         crash(REQUEST, 3, START + SECOND / 50);
@@ -40,45 +40,45 @@
     }
 
     @Test
-    void aRunThatFinishesClearsARequest() {
+    void aFinishedRunReleasesARequest() {
         crash(REQUEST, 1, START);
         crash(REQUEST, 2, START + SECOND);
-        learn(new CrashNotice(REQUEST, Ending.FINISHED, 0, 0, 0), START + 2 * SECOND);
+        apply(new CrashNotice(REQUEST, Ending.FINISHED, 0, 0, 0), START + 2 * SECOND);
         assertThat(quarantine.verdict(REQUEST, START + 2 * SECOND)).isInstanceOf(Verdict.Allowed.class);
     }
 
     @Test
-    void aCrashThatIsHeardOfAfterALaterRunFinishedDoesNotCount() {
+    void ignoresACrashThatIsReportedAfterALaterRunFinished() {
         crash(REQUEST, 1, START);
-        learn(new CrashNotice(REQUEST, Ending.FINISHED, 0, 0, 0), START + 3 * SECOND);
-        learn(new CrashNotice(REQUEST, Ending.CRASHED_BEFORE_OUTPUT, 2, 100, 1_500), START + 4 * SECOND);
+        apply(new CrashNotice(REQUEST, Ending.FINISHED, 0, 0, 0), START + 3 * SECOND);
+        apply(new CrashNotice(REQUEST, Ending.CRASHED_BEFORE_OUTPUT, 2, 100, 1_500), START + 4 * SECOND);
         assertThat(quarantine.verdict(REQUEST, START + 4 * SECOND)).isInstanceOf(Verdict.Allowed.class);
     }
 
     @Test
     void crashesDuringOutputCountHalf() {
         for (int worker = 1; worker <= 3; worker++) {
-            learn(notice(REQUEST, Ending.CRASHED_DURING_OUTPUT, worker), START + worker * SECOND);
+            apply(notice(REQUEST, Ending.CRASHED_DURING_OUTPUT, worker), START + worker * SECOND);
             assertThat(quarantine.verdict(REQUEST, START + worker * SECOND)).isInstanceOf(Verdict.Suspect.class);
         }
-        learn(notice(REQUEST, Ending.CRASHED_DURING_OUTPUT, 4), START + 4 * SECOND);
+        apply(notice(REQUEST, Ending.CRASHED_DURING_OUTPUT, 4), START + 4 * SECOND);
         assertThat(quarantine.verdict(REQUEST, START + 4 * SECOND)).isInstanceOf(Verdict.Quarantined.class);
     }
 
     @Test
-    void afterTheTimeThatACrashCountsTheRequestIsTriedOnceMore() {
+    void allowsOneMoreAttemptWhenACrashExpires() {
         crash(REQUEST, 1, START);
         crash(REQUEST, 2, START + SECOND);
         Verdict verdict = quarantine.verdict(REQUEST, START + SECOND);
-        assertThat(verdict).isEqualTo(new Verdict.Quarantined((COUNTED - SECOND) / 1_000_000));
-        long later = START + COUNTED + SECOND / 2;
+        assertThat(verdict).isEqualTo(new Verdict.Quarantined((CRASH_RETENTION - SECOND) / 1_000_000));
+        long later = START + CRASH_RETENTION + SECOND / 2;
         assertThat(quarantine.verdict(REQUEST, later)).isInstanceOf(Verdict.Suspect.class);
         crash(REQUEST, 3, later);
         assertThat(quarantine.verdict(REQUEST, later)).isInstanceOf(Verdict.Quarantined.class);
     }
 
     @Test
-    void aStormOfCrashesDoesNotDriveOutWhatIsHeld() {
+    void manyCrashesOfOtherRequestsDoNotEvictARequestInQuarantine() {
         crash(REQUEST, 1, START);
         crash(REQUEST, 2, START + SECOND);
         for (int i = 0; i < 5_000; i++) {
@@ -88,15 +88,15 @@
     }
 
     @Test
-    void nothingIsKnownOfRequestsWhoseCrashesNoLongerCount() {
+    void removesRecordsWhoseCrashesHaveExpired() {
         crash(REQUEST, 1, START);
         assertThat(quarantine.isEmpty()).isFalse();
-        quarantine.takeNotices(START + COUNTED + 20 * SECOND);
+        quarantine.takeNotices(START + CRASH_RETENTION + 20 * SECOND);
         assertThat(quarantine.isEmpty()).isTrue();
     }
 
     @Test
-    void newsIsToldSomeTimesWithItsAgeAndThenNoMore() {
+    void sendsANoticeThreeTimesWithItsAge() {
         crash(REQUEST, 1, START);
         assertThat(quarantine.takeNotices(START)).hasSize(1);
         assertThat(quarantine.takeNotices(START + SECOND))
@@ -106,9 +106,9 @@
     }
 
     @Test
-    void crashesThatDecideAreToldBeforeTheManyThatSayLittle() {
+    void sendsCrashesBeforeOutputBeforeCrashesDuringOutput() {
         for (int i = 0; i < 1_000; i++) {
-            learn(notice(new Fingerprint(1_000 + i), Ending.CRASHED_DURING_OUTPUT, 1), START);
+            apply(notice(new Fingerprint(1_000 + i), Ending.CRASHED_DURING_OUTPUT, 1), START);
         }
         crash(REQUEST, 1, START);
         assertThat(quarantine.takeNotices(START))
@@ -116,21 +116,21 @@
     }
 
     @Test
-    void aProcessThatStartsLaterIsToldOfWhatIsHeld() {
+    void sendsTheRequestsInQuarantineToAProcessThatStartsLater() {
         crash(REQUEST, 1, START);
         crash(REQUEST, 2, START + SECOND);
         long now = START + 60 * SECOND;
         for (int i = 0; i < 10; i++) {
             quarantine.takeNotices(START + (2 + i) * SECOND);
         }
-        RequestQuarantine started = new RequestQuarantine();
+        RequestQuarantine startedLater = new RequestQuarantine();
         List<CrashNotice> reminders = quarantine.takeNotices(now);
-        reminders.forEach(notice -> started.applyNotice(notice, now));
-        assertThat(started.verdict(REQUEST, now)).isInstanceOf(Verdict.Quarantined.class);
+        reminders.forEach(notice -> startedLater.applyNotice(notice, now));
+        assertThat(startedLater.verdict(REQUEST, now)).isInstanceOf(Verdict.Quarantined.class);
     }
 
     @Test
-    void aPeerThatHasJustStartedIsToldAtOnce() {
+    void sendsTheRequestsInQuarantineAtOnceWhenAPeerStarts() {
         crash(REQUEST, 1, START);
         crash(REQUEST, 2, START + SECOND);
         for (int i = 0; i < 4; i++) {
@@ -142,14 +142,14 @@
     }
 
     private void crash(Fingerprint request, int worker, long nowNanos) {
-        learn(notice(request, Ending.CRASHED_BEFORE_OUTPUT, worker), nowNanos);
+        apply(notice(request, Ending.CRASHED_BEFORE_OUTPUT, worker), nowNanos);
     }
 
     private static CrashNotice notice(Fingerprint request, Ending ending, int worker) {
         return new CrashNotice(request, ending, worker, 100, 0);
     }
 
-    private void learn(CrashNotice notice, long nowNanos) {
+    private void apply(CrashNotice notice, long nowNanos) {
         quarantine.applyNotice(notice, nowNanos);
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/SimulatedFleet.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/SimulatedFleet.java
@@ -7,29 +7,31 @@
 import org.dotterelcourse.policy.quarantine.CrashNotice.Ending;
 
 /**
- * Processes in virtual time that tell each other each 50 ms, over a network that loses a third of the messages, while a
- * client sends one request that crashes its worker to one after the other.
+ * Simulates a fleet in virtual time. The processes send each other notices every 50 ms over a network that loses a
+ * third of the messages, while a client sends the same request, which crashes its worker, to one random process after
+ * another.
  */
 final class SimulatedFleet {
-    private static final long MILLISECOND = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final Fingerprint REQUEST = new Fingerprint(7);
-    private static final int PERIOD_MILLIS = 50;
+    private static final int GOSSIP_PERIOD_MILLIS = 50;
     private static final int RUN_MILLIS = 20;
-    private static final int NOBODY = -1;
+    private static final int NO_PROCESS = -1;
 
-    /** Crashes after which all processes have to know the request, and how long they have for that after it or a start. */
-    private static final int KNOWN_AFTER_CRASHES = 3;
+    /** Crashes after which all processes must quarantine the request, once its notices had time to reach them. */
+    private static final int CRASHES_UNTIL_QUARANTINE = 3;
 
-    private static final long KNOWN_WITHIN_NANOS = 3_000 * MILLISECOND;
+    /** Time for notices to reach all processes, counted from the last expected crash or the start of the process. */
+    private static final long REPLICATION_NANOS = 3_000 * NANOS_PER_MILLI;
 
     private final List<RequestQuarantine> processes = new ArrayList<>();
     private final List<Long> startedNanos = new ArrayList<>();
     private final Random random;
-    private long nowNanos = 10_000_000 * MILLISECOND;
-    private long lastFreeCrashNanos;
+    private long nowNanos = 10_000_000 * NANOS_PER_MILLI;
+    private long lastExpectedCrashNanos;
     private int crashes;
-    private int sendsWhenKnown;
-    private int cutOff = NOBODY;
+    private int missedRejections;
+    private int isolated = NO_PROCESS;
 
     SimulatedFleet(int count, Random random) {
         this.random = random;
@@ -39,7 +41,9 @@
         }
     }
 
-    /** Sends the request to some process, which passes it on to a worker unless it holds it. */
+    /**
+     * Sends the request to a random process, which forwards it to a worker unless the request is in quarantine there.
+     */
     void send() {
         int process = random.nextInt(processes.size());
         RequestQuarantine quarantine = processes.get(process);
@@ -49,34 +53,34 @@
         crashes++;
         quarantine.applyNotice(
                 new CrashNotice(REQUEST, Ending.CRASHED_BEFORE_OUTPUT, crashes, RUN_MILLIS, 0), nowNanos);
-        if (crashes <= KNOWN_AFTER_CRASHES) {
-            lastFreeCrashNanos = nowNanos;
-        } else if (nowNanos - Math.max(lastFreeCrashNanos, startedNanos.get(process)) > KNOWN_WITHIN_NANOS) {
-            sendsWhenKnown++;
+        if (crashes <= CRASHES_UNTIL_QUARANTINE) {
+            lastExpectedCrashNanos = nowNanos;
+        } else if (nowNanos - Math.max(lastExpectedCrashNanos, startedNanos.get(process)) > REPLICATION_NANOS) {
+            missedRejections++;
         }
     }
 
-    /** Lets time pass. */
+    /** Advances the time and lets the processes exchange notices. */
     void exchange(int millis) {
-        for (int passed = 0; passed < millis; passed += PERIOD_MILLIS) {
-            nowNanos += PERIOD_MILLIS * MILLISECOND;
+        for (int elapsedMillis = 0; elapsedMillis < millis; elapsedMillis += GOSSIP_PERIOD_MILLIS) {
+            nowNanos += GOSSIP_PERIOD_MILLIS * NANOS_PER_MILLI;
             for (int sender = 0; sender < processes.size(); sender++) {
-                tell(sender, processes.get(sender).takeNotices(nowNanos));
+                deliver(sender, processes.get(sender).takeNotices(nowNanos));
             }
         }
     }
 
-    private void tell(int sender, List<CrashNotice> notices) {
+    private void deliver(int sender, List<CrashNotice> notices) {
         for (int receiver = 0; receiver < processes.size(); receiver++) {
-            boolean reached = receiver != sender && receiver != cutOff && sender != cutOff;
-            if (reached && random.nextInt(3) > 0) {
+            boolean isReachable = receiver != sender && receiver != isolated && sender != isolated;
+            if (isReachable && random.nextInt(3) > 0) {
                 RequestQuarantine process = processes.get(receiver);
                 notices.forEach(notice -> process.applyNotice(notice, nowNanos));
             }
         }
     }
 
-    /** A process loses what it knew, and its peers meet it anew. */
+    /** Replaces a process by one without records, and informs all processes that a peer has started. */
     void restart(int process) {
         processes.set(process, new RequestQuarantine());
         startedNanos.set(process, nowNanos);
@@ -89,17 +93,17 @@
         }
     }
 
-    /** A process hears nothing of its peers, nor they of it. */
-    void cutOff(int process) {
-        cutOff = process;
+    /** Cuts the network connection between a process and its peers in both directions. */
+    void isolate(int process) {
+        isolated = process;
     }
 
     int crashes() {
         return crashes;
     }
 
-    /** Sends of processes that had time to know the request. */
-    int sendsWhenKnown() {
-        return sendsWhenKnown;
+    /** Returns how often a process forwarded the request although its peers' notices had time to reach it. */
+    int missedRejections() {
+        return missedRejections;
     }
 }
