--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -227,7 +227,7 @@
      * @param nowNanos the time
      */
     public void learn(CrashNotice notice, long nowNanos) {
-        if (quarantine.learn(notice, nowNanos)) {
+        if (quarantine.applyNotice(notice, nowNanos)) {
             audit.add(AuditEvent.Kind.QUARANTINE, notice.request().toString(), "workers crashed under it", "", "held");
         }
     }
@@ -243,7 +243,7 @@
         WorkerLimits limits = workers.limits();
         String before = describe(limits.limit(worker.incarnation()));
         boolean published = workers.started(worker.incarnation()).isPresent();
-        if (published && limits.said(worker.incarnation(), perSecond, nowNanos)) {
+        if (published && limits.updateFromWorker(worker.incarnation(), perSecond, nowNanos)) {
             audit.add(AuditEvent.Kind.LIMIT, worker.id(), "named in an answer", before, describe(perSecond));
         }
     }
@@ -260,7 +260,7 @@
         workers.started(notice.worker()).ifPresent(worker -> {
             WorkerLimits limits = workers.limits();
             String before = describe(limits.limit(notice.worker()));
-            if (limits.told(notice, nowNanos)) {
+            if (limits.updateFromPeer(notice, nowNanos)) {
                 String id = worker.entry().id();
                 audit.add(AuditEvent.Kind.LIMIT, id, "told by " + peer, before, describe(notice.perSecond()));
             }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -7,8 +7,8 @@
 
 import org.dotterelcourse.gateway.GatewayLoop;
 import org.dotterelcourse.gateway.GatewayState;
-import org.dotterelcourse.policy.line.Waiter;
-import org.dotterelcourse.policy.line.WaitingLine;
+import org.dotterelcourse.policy.line.PendingRequest;
+import org.dotterelcourse.policy.line.UpstreamQueue;
 import org.dotterelcourse.policy.selection.Pace;
 import org.dotterelcourse.policy.selection.Prompt;
 import reactor.core.publisher.Mono;
@@ -16,7 +16,7 @@
 
 /**
  * Lets calls that can wait for their first event through to the engines as these have room, in the order of the
- * {@link WaitingLine}. Used on the gateway's loop only.
+ * {@link UpstreamQueue}. Used on the gateway's loop only.
  */
 final class EngineLines {
     /** Below the time in which peers tell each other of free places, and well below the latency targets of such calls. */
@@ -37,7 +37,7 @@
     private final GatewayState state;
     private final Selection selection;
     private final RandomGenerator random;
-    private final Map<String, WaitingLine<Entry>> lines = new HashMap<>();
+    private final Map<String, UpstreamQueue<Entry>> lines = new HashMap<>();
     private boolean looking;
 
     /** A call in a line, and who hears of its end there; two are never equal. */
@@ -89,32 +89,32 @@
     Mono<Admitted> admit(Call call) {
         return Mono.defer(() -> {
             long now = loop.nowNanos();
-            WaitingLine<Entry> line = line(call);
+            UpstreamQueue<Entry> line = line(call);
             if (line.size() == 0) {
                 Selection.Outcome outcome = selection.placeInRoom(call, now);
                 if (!(outcome instanceof Selection.Outcome.NoRoom)) {
-                    line.placed(call.terms().customer(), now);
+                    line.recordDispatch(call.terms().customer(), now);
                     return Mono.just(new Admitted.Through(outcome));
                 }
             }
-            if (line.waitMillis(now) > call.leftMillis(now) - Selection.usualMillis(call)) {
+            if (line.expectedWaitMillis(now) > call.leftMillis(now) - Selection.usualMillis(call)) {
                 return Mono.just(new Admitted.Refused(retryAfterMillis(line, now)));
             }
             return Mono.create(sink -> join(line, new Entry(call, sink)));
         });
     }
 
-    private WaitingLine<Entry> line(Call call) {
-        return lines.computeIfAbsent(call.terms().upstream().name(), upstream -> new WaitingLine<>());
+    private UpstreamQueue<Entry> line(Call call) {
+        return lines.computeIfAbsent(call.terms().upstream().name(), upstream -> new UpstreamQueue<>());
     }
 
-    private void join(WaitingLine<Entry> line, Entry entry) {
+    private void join(UpstreamQueue<Entry> line, Entry entry) {
         Call.Terms terms = entry.call.terms();
         double lead = state.model(terms.upstream().name()).leadMillis();
         long onTime = terms.arrivalNanos() + nanos(terms.route().targetMillis() - lead);
         long inTime = terms.deadlineNanos() - nanos(Selection.usualMillis(entry.call));
-        line.join(new Waiter<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
-        entry.sink.onDispose(() -> line.leave(entry));
+        line.add(new PendingRequest<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
+        entry.sink.onDispose(() -> line.remove(entry));
         if (!looking) {
             looking = true;
             loop.after(LOOK_MILLIS, this::look);
@@ -127,8 +127,8 @@
 
     private void look() {
         long now = loop.nowNanos();
-        for (WaitingLine<Entry> line : lines.values()) {
-            refuse(line, line.takeHopeless(now), now);
+        for (UpstreamQueue<Entry> line : lines.values()) {
+            refuse(line, line.removeExpired(now), now);
             letThrough(line, now);
         }
         looking = lines.values().stream().anyMatch(line -> line.size() > 0);
@@ -137,17 +137,18 @@
         }
     }
 
-    private void letThrough(WaitingLine<Entry> line, long now) {
-        int allowed =
-                line.next(now).map(first -> partOfRoom(first.item().call, now)).orElse(0);
+    private void letThrough(UpstreamQueue<Entry> line, long now) {
+        int allowed = line.peekNext(now)
+                .map(first -> partOfRoom(first.item().call, now))
+                .orElse(0);
         for (int i = 0; i < allowed && line.size() > 0; i++) {
-            Entry entry = line.next(now).orElseThrow().item();
+            Entry entry = line.peekNext(now).orElseThrow().item();
             Selection.Outcome outcome = selection.placeInRoom(entry.call, now);
             if (outcome instanceof Selection.Outcome.NoRoom) {
                 return;
             }
-            line.leave(entry);
-            line.placed(entry.call.terms().customer(), now);
+            line.remove(entry);
+            line.recordDispatch(entry.call.terms().customer(), now);
             entry.sink.success(new Admitted.Through(outcome));
         }
     }
@@ -161,15 +162,15 @@
 
     /** The process takes nothing on any more: who waits is told to go elsewhere. */
     void close() {
-        lines.values().forEach(line -> refuse(line, line.takeAll(), loop.nowNanos()));
+        lines.values().forEach(line -> refuse(line, line.removeAll(), loop.nowNanos()));
     }
 
-    private void refuse(WaitingLine<Entry> line, List<Waiter<Entry>> refused, long now) {
+    private void refuse(UpstreamQueue<Entry> line, List<PendingRequest<Entry>> refused, long now) {
         refused.forEach(each -> each.item().sink.success(new Admitted.Refused(retryAfterMillis(line, now))));
     }
 
-    private long retryAfterMillis(WaitingLine<Entry> line, long now) {
-        double wait = Math.min(MOST_RETRY_MILLIS, Math.max(LEAST_RETRY_MILLIS, line.waitMillis(now)));
+    private long retryAfterMillis(UpstreamQueue<Entry> line, long now) {
+        double wait = Math.min(MOST_RETRY_MILLIS, Math.max(LEAST_RETRY_MILLIS, line.expectedWaitMillis(now)));
         return (long) (wait * (1 - SPREAD / 2 + SPREAD * random.nextDouble()));
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -5,7 +5,7 @@
 import org.dotterelcourse.policy.cold.ColdPeriod;
 import org.dotterelcourse.policy.cold.ColdStart;
 import org.dotterelcourse.policy.rate.RateShare;
-import org.dotterelcourse.policy.rate.SentWindow;
+import org.dotterelcourse.policy.rate.SlidingWindowLog;
 import org.dotterelcourse.policy.repeat.RecentOutcomes;
 import org.dotterelcourse.policy.repeat.SharedSuspicion;
 import org.dotterelcourse.policy.repeat.WorkerTrust;
@@ -18,7 +18,7 @@
     private final RecentOutcomes outcomes = new RecentOutcomes();
     private final SharedSuspicion sharedSuspicion = new SharedSuspicion();
     private final ColdPeriod coldPeriod = new ColdPeriod();
-    private final SentWindow sent = new SentWindow();
+    private final SlidingWindowLog sent = new SlidingWindowLog();
     private final int incarnation;
     private final long order;
     private WorkerEntry entry;
@@ -102,7 +102,7 @@
     }
 
     private boolean open(RateShare share, ShareHolders holders, long nowNanos) {
-        return holders.holds(entry.id(), share.holders(), nowNanos) && sent.open(share, nowNanos);
+        return holders.holds(entry.id(), share.holders(), nowNanos) && sent.allows(share, nowNanos);
     }
 
     /** Whether all processes together have seen it fail too often. */
@@ -113,7 +113,7 @@
     }
 
     void begin(boolean isInteractive, double prefill, long nowNanos) {
-        sent.sent(nowNanos);
+        sent.recordRequest(nowNanos);
         inFlight++;
         interactive += isInteractive ? 1 : 0;
         prefillMillis += prefill;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -13,10 +13,10 @@
 import org.dotterelcourse.policy.estimate.FixedOutputEstimator;
 import org.dotterelcourse.policy.estimate.LearnedOutputEstimator;
 import org.dotterelcourse.policy.estimate.OutputEstimator;
-import org.dotterelcourse.policy.placement.Candidate;
 import org.dotterelcourse.policy.placement.CellPlacement;
 import org.dotterelcourse.policy.placement.Placement;
-import org.dotterelcourse.policy.placement.Running;
+import org.dotterelcourse.policy.placement.PlacementRequest;
+import org.dotterelcourse.policy.placement.RunningRequest;
 import org.dotterelcourse.policy.preemption.Preemption;
 import org.dotterelcourse.policy.preemption.ResumablePreemption;
 import org.dotterelcourse.policy.queue.TieredQueue;
@@ -43,7 +43,7 @@
     private final Admission admission;
     private final Placement placement;
     private final Preemption preemption;
-    private final Map<Long, Running> running = new HashMap<>();
+    private final Map<Long, RunningRequest> running = new HashMap<>();
     private final Map<Long, Double> charges = new HashMap<>();
     private final Set<String> runningIds = new HashSet<>();
     private long lastGrant;
@@ -102,18 +102,18 @@
 
     @Override
     public List<CellEffect> progress(long grant, int outputTokens, long nowNanos) {
-        Running found = running.get(grant);
+        RunningRequest found = running.get(grant);
         if (found == null) {
             return List.of();
         }
         boolean becomesLong = isLong(outputTokens);
-        placement.progress(found, outputTokens, becomesLong, nowNanos);
+        placement.recordProgress(found, outputTokens, becomesLong, nowNanos);
         return List.of();
     }
 
     @Override
     public List<CellEffect> release(long grant, Completion completion, long nowNanos) {
-        Running found = running.get(grant);
+        RunningRequest found = running.get(grant);
         if (found == null) {
             return List.of();
         }
@@ -132,7 +132,7 @@
 
     @Override
     public List<CellEffect> workers(List<WorkerInfo> published, long nowNanos) {
-        placement.workers(published, nowNanos);
+        placement.updateWorkers(published, nowNanos);
         List<CellEffect> effects = new ArrayList<>();
         for (Waiting waiting : queue.all()) {
             if (!waiting.ask().excludedWorkers().isEmpty() && !placement.canServe(waiting.ask())) {
@@ -146,7 +146,7 @@
 
     @Override
     public List<CellEffect> report(WorkerReport report, long nowNanos) {
-        placement.report(report, nowNanos);
+        placement.recordReport(report, nowNanos);
         return serve(nowNanos);
     }
 
@@ -171,7 +171,7 @@
 
     private void serve(List<CellEffect> effects, long nowNanos) {
         refuseExpired(effects, nowNanos);
-        while (queue.size() > 0 && placement.hasRoom(nowNanos)) {
+        while (queue.size() > 0 && placement.hasCapacity(nowNanos)) {
             noRoomForLong = false;
             Optional<WaitingQueue.Taken<String>> taken = queue.next(waiting -> place(waiting, nowNanos), nowNanos);
             if (taken.isEmpty()) {
@@ -187,7 +187,7 @@
      * granted; they are passed over without a search, since a queue of long jobs has many heads.
      */
     private Optional<String> place(Waiting waiting, long nowNanos) {
-        Candidate candidate = candidate(waiting);
+        PlacementRequest candidate = candidate(waiting);
         if (candidate.isLong() && noRoomForLong) {
             return Optional.empty();
         }
@@ -221,14 +221,14 @@
             return;
         }
         searchedNanos = nowNanos;
-        Optional<Running> victim = preemption.victim(urgent.ask(), running.values());
+        Optional<RunningRequest> victim = preemption.victim(urgent.ask(), running.values());
         if (victim.isEmpty()) {
             return;
         }
-        Running stopped = victim.get();
+        RunningRequest stopped = victim.get();
         effects.add(new CellEffect.Preempted(stopped.ask().id(), stopped.grant()));
-        int tokens = stopped.tokens() - stopped.ask().resumedTokens();
-        end(stopped, new Completion(Completion.End.CANCELLED, -1, nowNanos - stopped.sinceNanos(), tokens), nowNanos);
+        int tokens = stopped.outputTokens() - stopped.ask().resumedTokens();
+        end(stopped, new Completion(Completion.End.CANCELLED, -1, nowNanos - stopped.grantedNanos(), tokens), nowNanos);
         queue.take(urgent.ask().id());
         effects.add(grant(urgent, stopped.worker(), false, nowNanos));
     }
@@ -253,30 +253,30 @@
             return false;
         }
         boolean isPast = admission.startByNanos(ask) <= nowNanos;
-        boolean hasRoom = queue.size() == 0 && placement.hasRoom(nowNanos);
+        boolean hasRoom = queue.size() == 0 && placement.hasCapacity(nowNanos);
         return isPast || !hasRoom && admission.tooLate(ask, workAhead, placement.slots(), nowNanos);
     }
 
     private CellEffect grant(Waiting waiting, String worker, boolean owed, long nowNanos) {
         lastGrant++;
-        Running granted = new Running(lastGrant, candidate(waiting), worker, owed, nowNanos);
+        RunningRequest granted = new RunningRequest(lastGrant, candidate(waiting), worker, owed, nowNanos);
         running.put(lastGrant, granted);
         charges.put(lastGrant, waiting.work());
         runningIds.add(waiting.ask().id());
-        placement.granted(granted, nowNanos);
+        placement.recordGrant(granted, nowNanos);
         return new CellEffect.Granted(waiting.ask().id(), lastGrant, worker);
     }
 
-    private void end(Running ended, Completion completion, long nowNanos) {
+    private void end(RunningRequest ended, Completion completion, long nowNanos) {
         running.remove(ended.grant());
         runningIds.remove(ended.ask().id());
         double charged = charges.remove(ended.grant());
-        placement.released(ended, completion, nowNanos);
+        placement.recordRelease(ended, completion, nowNanos);
         Ask ask = ended.ask();
         boolean isAnswered = completion.end() == Completion.End.ANSWERED;
         // A plain service's answer has no tokens to count, and is one unit of work.
         int tokens = isAnswered ? Math.max(1, completion.outputTokens()) : completion.outputTokens();
-        double actual = tokens > 0 ? ended.candidate().prefillWork() + tokens : 0;
+        double actual = tokens > 0 ? ended.placementRequest().prefillWork() + tokens : 0;
         queue.settle(ask.terms().name(), ask.customer(), charged, actual);
         if (isAnswered) {
             estimator.observe(ask.terms(), ask.customer(), ask.resumedTokens() + tokens);
@@ -298,10 +298,10 @@
         return new Waiting(ask, prefillWork(ask) + output, output, admission.startByNanos(ask), lastSequence);
     }
 
-    private Candidate candidate(Waiting waiting) {
+    private PlacementRequest candidate(Waiting waiting) {
         Ask ask = waiting.ask();
         double whole = ask.resumedTokens() + waiting.expectedOutput();
-        return new Candidate(ask, prefillWork(ask), waiting.expectedOutput(), isLong(whole));
+        return new PlacementRequest(ask, prefillWork(ask), waiting.expectedOutput(), isLong(whole));
     }
 
     private double prefillWork(Ask ask) {
