--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -17,7 +17,7 @@
 import org.dotterelcourse.daemon.audit.AuditTrail;
 import org.dotterelcourse.daemon.dispatch.GrantResult;
 import org.dotterelcourse.daemon.dispatch.SchedulerFactory;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.Completion;
 import org.dotterelcourse.policy.cell.RefusalReason;
 import org.dotterelcourse.policy.cell.WorkerReport;
@@ -142,7 +142,7 @@
         }
     }
 
-    long ask(Ask ask, MonoSink<GrantResult> sink, long nowNanos) {
+    long ask(CellRequest ask, MonoSink<GrantResult> sink, long nowNanos) {
         ClientEffect.Asked asked = client.ask(
                 ask.arrivalNanos(), ask.arrivalNanos() + LONGEST_WAIT_NANOS, TermsCodec.encode(ask), nowNanos);
         callers.add(asked.ask(), sink);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
@@ -32,7 +32,7 @@
 import org.dotterelcourse.daemon.platform.ConfigurationStore;
 import org.dotterelcourse.daemon.platform.Vm;
 import org.dotterelcourse.daemon.platform.VmWatcher;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.Completion;
 import org.dotterelcourse.policy.cell.RefusalReason;
 import org.dotterelcourse.policy.cell.WorkerReport;
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public Mono<GrantResult> ask(String upstream, Ask ask) {
+    public Mono<GrantResult> ask(String upstream, CellRequest ask) {
         return Mono.create(sink -> loop.execute(() -> offer(upstream, ask, sink)));
     }
 
@@ -196,7 +196,7 @@
         cells.get(cell).report(report, loop.nowNanos());
     }
 
-    private void offer(String upstream, Ask ask, MonoSink<GrantResult> sink) {
+    private void offer(String upstream, CellRequest ask, MonoSink<GrantResult> sink) {
         List<CellRuntime> candidates = byUpstream.getOrDefault(upstream, List.of());
         if (candidates.isEmpty()) {
             sink.success(new GrantResult.Refused(RefusalReason.NO_WORKER, 0));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/TermsCodec.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/TermsCodec.java
@@ -5,7 +5,7 @@
 import com.google.protobuf.InvalidProtocolBufferException;
 import org.dotterelcourse.daemon.cells.generated.AskTerms;
 import org.dotterelcourse.daemon.cells.generated.GrantObservation;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.ClassTerms;
 import org.dotterelcourse.policy.cell.Completion;
 
@@ -20,7 +20,7 @@
 
     private TermsCodec() {}
 
-    static byte[] encode(Ask ask) {
+    static byte[] encode(CellRequest ask) {
         ClassTerms terms = ask.terms();
         return AskTerms.newBuilder()
                 .setRequestClass(terms.name())
@@ -46,11 +46,11 @@
      *
      * @param askId its id
      * @param arrivalNanos when it arrived, on this process's clock
-     * @param bytes what {@link #encode(Ask)} wrote
+     * @param bytes what {@link #encode(CellRequest)} wrote
      * @return the ask
      * @throws IllegalArgumentException if the bytes are something else
      */
-    static Ask decode(String askId, long arrivalNanos, byte[] bytes) {
+    static CellRequest decode(String askId, long arrivalNanos, byte[] bytes) {
         try {
             AskTerms read = AskTerms.parseFrom(bytes);
             ClassTerms terms = new ClassTerms(
@@ -62,7 +62,7 @@
                     read.getTargetNanos(),
                     read.getTokenIntervalNanos(),
                     read.getMaxOutputTokens());
-            return new Ask(
+            return new CellRequest(
                     askId,
                     terms,
                     read.getCustomer(),
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Asks.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Asks.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.TimeUnit;
 
 import org.dotterelcourse.configuration.RequestClass;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.ClassTerms;
 
 /** Makes the scheduler's view of requests. */
 final class Asks {
     private Asks() {}
 
-    static Ask of(ChatCall call) {
-        return new Ask(
+    static CellRequest of(ChatCall call) {
+        return new CellRequest(
                 call.id(),
                 terms(call.requestClass()),
                 call.customer(),
@@ -24,8 +24,8 @@
                 Set.of());
     }
 
-    static Ask of(ServiceRequest request) {
-        return new Ask(
+    static CellRequest of(ServiceRequest request) {
+        return new CellRequest(
                 request.id(),
                 terms(request.requestClass()),
                 request.customer(),
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatProgress.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatProgress.java
@@ -1,7 +1,7 @@
 package org.dotterelcourse.daemon.dispatch;
 
 import org.dotterelcourse.daemon.upstream.UpstreamFailure;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /**
  * How far a chat completion has come over all its attempts: the tokens that its caller has, and what is to be asked for
@@ -11,7 +11,7 @@
     private final ChatCall call;
     private final WorkerListener workers;
     private final StringBuilder text = new StringBuilder();
-    private Ask ask;
+    private CellRequest ask;
     private int tokens;
     private boolean mayHaveRun;
 
@@ -29,7 +29,7 @@
         return workers;
     }
 
-    Ask ask() {
+    CellRequest ask() {
         return ask;
     }
 
@@ -55,7 +55,7 @@
         mayHaveRun |= !failure.notRun();
     }
 
-    void next(Ask next) {
+    void next(CellRequest next) {
         ask = next;
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/GrantSource.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/GrantSource.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.daemon.dispatch;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.Completion;
 import reactor.core.publisher.Mono;
 
@@ -13,7 +13,7 @@
      * @param ask the request
      * @return one value, when it is decided
      */
-    Mono<GrantResult> ask(String upstream, Ask ask);
+    Mono<GrantResult> ask(String upstream, CellRequest ask);
 
     /**
      * Tells that the answer makes progress.
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 import org.dotterelcourse.daemon.upstream.UpstreamFailure;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.retry.Attempt;
 import org.dotterelcourse.policy.retry.EvidenceClassifier;
 import org.dotterelcourse.policy.retry.FractionRetryBudget;
@@ -27,7 +27,7 @@
      * @param resumable whether the upstream can go on after given tokens
      * @return what follows
      */
-    synchronized RetryDecision decide(String upstream, Ask ask, Attempt attempt, boolean resumable) {
+    synchronized RetryDecision decide(String upstream, CellRequest ask, Attempt attempt, boolean resumable) {
         return policy.decide(ask, attempt, resumable, budget(upstream), System.nanoTime());
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcher.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcher.java
@@ -6,7 +6,7 @@
 import org.dotterelcourse.daemon.upstream.ServiceCall;
 import org.dotterelcourse.daemon.upstream.ServiceReply;
 import org.dotterelcourse.daemon.upstream.UpstreamFailure;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.retry.Attempt;
 import org.dotterelcourse.policy.retry.RetryDecision;
 import reactor.core.publisher.Mono;
@@ -56,7 +56,7 @@
                 attempt(new Sending(request, workers, request.requestClass().idempotent()), Asks.of(request), false));
     }
 
-    private Mono<ServiceAnswer> attempt(Sending sending, Ask ask, boolean mayHaveRun) {
+    private Mono<ServiceAnswer> attempt(Sending sending, CellRequest ask, boolean mayHaveRun) {
         return grants.ask(sending.request().requestClass().upstream(), ask).flatMap(result -> {
             if (result instanceof GrantResult.Granted granted) {
                 return use(sending, ask, granted.grant(), mayHaveRun);
@@ -65,7 +65,7 @@
         });
     }
 
-    private Mono<ServiceAnswer> use(Sending sending, Ask ask, Grant grant, boolean mayHaveRun) {
+    private Mono<ServiceAnswer> use(Sending sending, CellRequest ask, Grant grant, boolean mayHaveRun) {
         return Mono.using(
                 GrantUse::new,
                 use -> grants.mayUse(grant)
@@ -75,7 +75,7 @@
                 use -> use.release(grants, grant));
     }
 
-    private Mono<ServiceAnswer> send(Sending sending, Ask ask, Grant grant, GrantUse use, boolean mayHaveRun) {
+    private Mono<ServiceAnswer> send(Sending sending, CellRequest ask, Grant grant, GrantUse use, boolean mayHaveRun) {
         sending.workers().sentTo(grant.worker().name());
         return service.call(call(sending, grant))
                 .doOnNext(reply -> {
@@ -86,7 +86,8 @@
                 .flatMap(reply -> next(sending, ask, grant, reply, mayHaveRun));
     }
 
-    private Mono<ServiceAnswer> next(Sending sending, Ask ask, Grant grant, ServiceReply reply, boolean mayHaveRun) {
+    private Mono<ServiceAnswer> next(
+            Sending sending, CellRequest ask, Grant grant, ServiceReply reply, boolean mayHaveRun) {
         String upstream = sending.request().requestClass().upstream();
         if (reply instanceof ServiceReply.Answered answered) {
             retries.succeeded(upstream);
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcherTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcherTest.java
@@ -10,7 +10,7 @@
 import org.dotterelcourse.daemon.upstream.ServiceCall;
 import org.dotterelcourse.daemon.upstream.ServiceReply;
 import org.dotterelcourse.daemon.upstream.UpstreamFailure;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.Completion;
 import org.junit.jupiter.api.Test;
 import reactor.core.publisher.Mono;
@@ -81,7 +81,7 @@
                 List.of(new Worker("api-1", "10.0.0.1:80", "dc"), new Worker("api-2", "10.0.0.2:80", "dc"));
 
         @Override
-        public Mono<GrantResult> ask(String upstream, Ask ask) {
+        public Mono<GrantResult> ask(String upstream, CellRequest ask) {
             Worker worker = WORKERS.stream()
                     .filter(each -> !ask.excludedWorkers().contains(each.name()))
                     .findFirst()
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Call.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Call.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.experiments;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /** One caller's request and what the caller has received. */
 final class Call {
@@ -13,14 +13,14 @@
 
     final int totalTokens;
     final long arrivalNanos;
-    Ask ask;
+    CellRequest ask;
     State state = State.OPEN;
     int received;
     long firstTokenNanos = -1;
     long lastTokenNanos = -1;
     int attempts;
 
-    Call(Ask ask, int totalTokens) {
+    Call(CellRequest ask, int totalTokens) {
         this.ask = ask;
         this.totalTokens = totalTokens;
         this.arrivalNanos = ask.arrivalNanos();
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/DecisionCost.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/DecisionCost.java
@@ -8,8 +8,8 @@
 import java.util.function.Supplier;
 
 import org.HdrHistogram.Histogram;
-import org.dotterelcourse.policy.cell.Ask;
 import org.dotterelcourse.policy.cell.CellEffect;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.CellScheduler;
 import org.dotterelcourse.policy.cell.CellSettings;
 import org.dotterelcourse.policy.cell.ClassTerms;
@@ -106,7 +106,7 @@
         for (int i = 0; i < WARM_UP + MEASURED; i++) {
             nowNanos += STEP_NANOS;
             Running ended = takeRunning();
-            Ask next = ask(ended.isShort());
+            CellRequest next = ask(ended.isShort());
             long grant = ended.grant();
             Completion answered =
                     new Completion(Completion.End.ANSWERED, 200_000_000L, 2_000_000_000L, tokens(ended.isShort()));
@@ -144,7 +144,7 @@
         return taken;
     }
 
-    private Ask ask(boolean isShort) {
+    private CellRequest ask(boolean isShort) {
         lastId++;
         ClassTerms like = load(isShort).terms();
         // No bound and no lateness: the number that waits stays what it is to be.
@@ -159,7 +159,7 @@
                 like.maxOutputTokens());
         String customer = "customer-" + random.nextInt(CUSTOMERS);
         long prefix = 1 + random.nextInt(PREFIXES);
-        return new Ask(terms.name() + lastId, terms, customer, nowNanos, 800, prefix, true, 0, Set.of());
+        return new CellRequest(terms.name() + lastId, terms, customer, nowNanos, 800, prefix, true, 0, Set.of());
     }
 
     private ClassLoad load(boolean isShort) {
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/LocalDaemonsScheduler.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/LocalDaemonsScheduler.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-import org.dotterelcourse.policy.cell.Ask;
 import org.dotterelcourse.policy.cell.CellEffect;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.CellScheduler;
 import org.dotterelcourse.policy.cell.Completion;
 import org.dotterelcourse.policy.cell.RefusalReason;
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public List<CellEffect> offer(Ask ask, long nowNanos) {
+    public List<CellEffect> offer(CellRequest ask, long nowNanos) {
         nextDaemon = (nextDaemon + 1) % daemons;
         int daemon = nextDaemon;
         List<WorkerInfo> usable = new ArrayList<>(workers);
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public long adopt(Ask ask, String worker, long nowNanos) {
+    public long adopt(CellRequest ask, String worker, long nowNanos) {
         return send(new Sent(0, worker));
     }
 
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Workload.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Workload.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 import java.util.Set;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.ClassTerms;
 
 /** Draws the requests of a trial: classes and sizes after Sabla's, ten customers, three of them large. */
@@ -69,7 +69,7 @@
         boolean isHot = random.nextDouble() < hotPrefixFraction;
         long prefix = isHot ? 1 : (load.terms().name() + customer).hashCode();
         boolean idempotent = random.nextDouble() >= load.onceOnly();
-        Ask ask = new Ask(
+        CellRequest ask = new CellRequest(
                 "r" + lastId,
                 load.terms(),
                 customer,
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/Admission.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/Admission.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.policy.admission;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.Completion;
 
 /** Foretells how long requests wait, and refuses early what would come too late. */
@@ -13,7 +13,7 @@
      * @param completion what was seen
      * @param nowNanos the time
      */
-    void observe(Ask ask, double work, Completion completion, long nowNanos);
+    void observe(CellRequest ask, double work, Completion completion, long nowNanos);
 
     /**
      * Whether a request would come too late, and is useless late.
@@ -24,7 +24,7 @@
      * @param nowNanos the time
      * @return whether it is better refused now
      */
-    boolean tooLate(Ask ask, double workAhead, int slots, long nowNanos);
+    boolean tooLate(CellRequest ask, double workAhead, int slots, long nowNanos);
 
     /**
      * How long the cell takes over some work.
@@ -50,5 +50,5 @@
      * @param ask the request
      * @return nanoseconds; {@link Long#MAX_VALUE} for an answer that has begun, which nothing makes late
      */
-    long startByNanos(Ask ask);
+    long startByNanos(CellRequest ask);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/DrainRateAdmission.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/DrainRateAdmission.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.Completion;
 
 /**
@@ -32,7 +32,7 @@
     private int seen;
 
     @Override
-    public void observe(Ask ask, double work, Completion completion, long nowNanos) {
+    public void observe(CellRequest ask, double work, Completion completion, long nowNanos) {
         if (work <= 0 || completion.durationNanos() <= 0) {
             return;
         }
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public boolean tooLate(Ask ask, double workAhead, int slots, long nowNanos) {
+    public boolean tooLate(CellRequest ask, double workAhead, int slots, long nowNanos) {
         if (!ask.terms().lateIsUseless()) {
             return false;
         }
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public long startByNanos(Ask ask) {
+    public long startByNanos(CellRequest ask) {
         if (ask.resumedTokens() > 0) {
             return Long.MAX_VALUE;
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/Ask.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellRequest.java
@@ -15,7 +15,7 @@
  * @param resumedTokens how many tokens of the answer the caller has already, 0 for a fresh request
  * @param excludedWorkers workers that failed this request before
  */
-public record Ask(
+public record CellRequest(
         String id,
         ClassTerms terms,
         String customer,
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
@@ -17,7 +17,7 @@
      * @param nowNanos the time
      * @return what was decided
      */
-    List<CellEffect> offer(Ask ask, long nowNanos);
+    List<CellEffect> offer(CellRequest ask, long nowNanos);
 
     /**
      * A waiting request is no longer wanted. Unknown ids are passed over.
@@ -57,7 +57,7 @@
      * @param nowNanos the time
      * @return the grant's number with this scheduler
      */
-    long adopt(Ask ask, String worker, long nowNanos);
+    long adopt(CellRequest ask, String worker, long nowNanos);
 
     /**
      * The published list of the cell's workers has changed.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
@@ -17,7 +17,7 @@
 
     private final int maxWaiting;
     private final RandomGenerator random;
-    private final Deque<Ask> queue = new ArrayDeque<>();
+    private final Deque<CellRequest> queue = new ArrayDeque<>();
     private final Map<Long, String> grants = new HashMap<>();
     private final Map<String, Integer> running = new HashMap<>();
     private List<WorkerInfo> workers = List.of();
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public List<CellEffect> offer(Ask ask, long nowNanos) {
+    public List<CellEffect> offer(CellRequest ask, long nowNanos) {
         if (queue.size() >= maxWaiting) {
             return List.of(new CellEffect.Refused(ask.id(), RefusalReason.CELL_FULL, RETRY_AFTER_NANOS));
         }
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public long adopt(Ask ask, String worker, long nowNanos) {
+    public long adopt(CellRequest ask, String worker, long nowNanos) {
         lastGrant++;
         grants.put(lastGrant, worker);
         running.merge(worker, 1, Integer::sum);
@@ -105,12 +105,12 @@
         return effects;
     }
 
-    private CellEffect grant(Ask ask, WorkerInfo worker, long nowNanos) {
+    private CellEffect grant(CellRequest ask, WorkerInfo worker, long nowNanos) {
         long grant = adopt(ask, worker.name(), nowNanos);
         return new CellEffect.Granted(ask.id(), grant, worker.name());
     }
 
-    private List<WorkerInfo> freeWorkers(Ask ask) {
+    private List<WorkerInfo> freeWorkers(CellRequest ask) {
         List<WorkerInfo> free = new ArrayList<>();
         for (WorkerInfo worker : workers) {
             boolean room = running.getOrDefault(worker.name(), 0) < worker.concurrency();
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public List<CellEffect> offer(Ask ask, long nowNanos) {
+    public List<CellEffect> offer(CellRequest ask, long nowNanos) {
         if (queue.contains(ask.id()) || runningIds.contains(ask.id())) {
             return List.of();
         }
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public long adopt(Ask ask, String worker, long nowNanos) {
+    public long adopt(CellRequest ask, String worker, long nowNanos) {
         queue.remove(ask.id());
         grant(waiting(ask), worker, false, nowNanos);
         // The class was charged by the scheduler that gave the grant; here it pays at the end for what was done.
@@ -192,7 +192,7 @@
             return Optional.empty();
         }
         Optional<String> worker = placement.place(candidate, nowNanos);
-        Ask ask = waiting.ask();
+        CellRequest ask = waiting.ask();
         boolean anyWorkerWouldDo = ask.excludedWorkers().isEmpty()
                 && ask.idempotent()
                 && ask.terms().tier() > ClassTerms.HIGHEST_TIER;
@@ -235,7 +235,7 @@
 
     /** Whether waiting for a slot would take a request past its target: by its own place, or by the length of its tier. */
     private boolean wouldMiss(Waiting urgent, long nowNanos) {
-        Ask ask = urgent.ask();
+        CellRequest ask = urgent.ask();
         if (urgent.isLate(nowNanos)) {
             return false;
         }
@@ -248,7 +248,7 @@
         return headMisses || tierMisses;
     }
 
-    private boolean isTooLate(Ask ask, double workAhead, long nowNanos) {
+    private boolean isTooLate(CellRequest ask, double workAhead, long nowNanos) {
         if (!settings.uses(Mechanism.EARLY_REFUSAL) || !ask.terms().lateIsUseless() || ask.resumedTokens() > 0) {
             return false;
         }
@@ -272,7 +272,7 @@
         runningIds.remove(ended.ask().id());
         double charged = charges.remove(ended.grant());
         placement.released(ended, completion, nowNanos);
-        Ask ask = ended.ask();
+        CellRequest ask = ended.ask();
         boolean isAnswered = completion.end() == Completion.End.ANSWERED;
         // A plain service's answer has no tokens to count, and is one unit of work.
         int tokens = isAnswered ? Math.max(1, completion.outputTokens()) : completion.outputTokens();
@@ -288,23 +288,23 @@
         return refusal(waiting.ask(), reason, queue.workAhead(waiting));
     }
 
-    private CellEffect refusal(Ask ask, RefusalReason reason, double workAhead) {
+    private CellEffect refusal(CellRequest ask, RefusalReason reason, double workAhead) {
         return new CellEffect.Refused(ask.id(), reason, admission.retryAfterNanos(workAhead, placement.slots()));
     }
 
-    private Waiting waiting(Ask ask) {
+    private Waiting waiting(CellRequest ask) {
         lastSequence++;
         double output = estimator.remaining(ask.terms(), ask.customer(), ask.resumedTokens());
         return new Waiting(ask, prefillWork(ask) + output, output, admission.startByNanos(ask), lastSequence);
     }
 
     private Candidate candidate(Waiting waiting) {
-        Ask ask = waiting.ask();
+        CellRequest ask = waiting.ask();
         double whole = ask.resumedTokens() + waiting.expectedOutput();
         return new Candidate(ask, prefillWork(ask), waiting.expectedOutput(), isLong(whole));
     }
 
-    private double prefillWork(Ask ask) {
+    private double prefillWork(CellRequest ask) {
         return settings.prefillWeight() * (ask.inputTokens() + ask.resumedTokens());
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Candidate.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Candidate.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.policy.placement;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /**
  * A request that looks for a worker.
@@ -10,4 +10,4 @@
  * @param expectedOutput tokens that its answer is expected to have
  * @param isLong whether it counts against the room for long requests
  */
-public record Candidate(Ask ask, double prefillWork, double expectedOutput, boolean isLong) {}
+public record Candidate(CellRequest ask, double prefillWork, double expectedOutput, boolean isLong) {}
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.CellSettings;
 import org.dotterelcourse.policy.cell.Completion;
 import org.dotterelcourse.policy.cell.Mechanism;
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public boolean canServe(Ask ask) {
+    public boolean canServe(CellRequest ask) {
         if (!isPublished) {
             return true;
         }
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public boolean isUsable(String worker, Ask ask) {
+    public boolean isUsable(String worker, CellRequest ask) {
         Worker found = workers.get(worker);
         return found != null && found.isUsable(ask);
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.Completion;
 import org.dotterelcourse.policy.cell.WorkerInfo;
 import org.dotterelcourse.policy.cell.WorkerReport;
@@ -24,7 +24,7 @@
      * @param ask the request
      * @return whether one could; true as long as no list of workers has been published
      */
-    boolean canServe(Ask ask);
+    boolean canServe(CellRequest ask);
 
     /**
      * Whether a worker may take a request once something on it has made way.
@@ -33,7 +33,7 @@
      * @param ask the request
      * @return whether it may
      */
-    boolean isUsable(String worker, Ask ask);
+    boolean isUsable(String worker, CellRequest ask);
 
     /**
      * Chooses a worker.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Running.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Running.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.policy.placement;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /** A granted request and what has been seen of it. */
 public final class Running {
@@ -48,7 +48,7 @@
      *
      * @return the ask
      */
-    public Ask ask() {
+    public CellRequest ask() {
         return candidate.ask();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.CellSettings;
 import org.dotterelcourse.policy.cell.ClassTerms;
 import org.dotterelcourse.policy.cell.Mechanism;
@@ -108,7 +108,7 @@
         return longRunning < Math.max(1, (int) (settings.longJobShare() * info.concurrency()));
     }
 
-    boolean isUsable(Ask ask) {
+    boolean isUsable(CellRequest ask) {
         return !isLeaving() && !health.isEjected() && !isExcludedFor(ask);
     }
 
@@ -204,11 +204,11 @@
         return fresh && settings.uses(Mechanism.LOAD_REPORTS) ? foreign : 0;
     }
 
-    private boolean isExcludedFor(Ask ask) {
+    private boolean isExcludedFor(CellRequest ask) {
         return ask.excludedWorkers().contains(info.name());
     }
 
-    private static boolean mayProbe(Ask ask) {
+    private static boolean mayProbe(CellRequest ask) {
         return ask.idempotent() && ask.terms().tier() > ClassTerms.HIGHEST_TIER;
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/Preemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/Preemption.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.Optional;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.placement.Running;
 
 /** Chooses a running request to stop for a waiting one. */
@@ -15,5 +15,5 @@
      * @param running all running requests
      * @return the one that makes way, or empty if none may or none is worth it
      */
-    Optional<Running> victim(Ask urgent, Collection<Running> running);
+    Optional<Running> victim(CellRequest urgent, Collection<Running> running);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.Optional;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.CellSettings;
 import org.dotterelcourse.policy.estimate.OutputEstimator;
 import org.dotterelcourse.policy.placement.Placement;
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public Optional<Running> victim(Ask urgent, Collection<Running> running) {
+    public Optional<Running> victim(CellRequest urgent, Collection<Running> running) {
         Running best = null;
         double bestGain = 0;
         for (Running candidate : running) {
@@ -55,8 +55,8 @@
         return Optional.ofNullable(best);
     }
 
-    private boolean mayStop(Running candidate, Ask urgent) {
-        Ask ask = candidate.ask();
+    private boolean mayStop(Running candidate, CellRequest urgent) {
+        CellRequest ask = candidate.ask();
         boolean resumable = ask.idempotent() && ask.terms().tokenIntervalNanos() > 0;
         boolean movedOn = ask.resumedTokens() == 0 || candidate.started();
         return resumable
@@ -67,7 +67,7 @@
     }
 
     private double gain(Running candidate) {
-        Ask ask = candidate.ask();
+        CellRequest ask = candidate.ask();
         double left = estimator.remaining(ask.terms(), ask.customer(), candidate.tokens());
         double again = settings.prefillWeight() * (ask.inputTokens() + candidate.tokens());
         return left - again;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/Waiting.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/Waiting.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.policy.queue;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /**
  * A request that waits.
@@ -11,7 +11,7 @@
  * @param startByNanos when it must be granted at the latest to meet its target; an answer that has begun is never late
  * @param sequence its place among all that have entered, which settles ties
  */
-public record Waiting(Ask ask, double work, double expectedOutput, long startByNanos, long sequence) {
+public record Waiting(CellRequest ask, double work, double expectedOutput, long startByNanos, long sequence) {
     /**
      * Whether it can't meet its target any more.
      *
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryDecision.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryDecision.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.policy.retry;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /** What follows a failed attempt. */
 public sealed interface RetryDecision {
@@ -9,14 +9,14 @@
      *
      * @param ask the same request with its arrival, its deadline and the failed worker excluded
      */
-    record Elsewhere(Ask ask) implements RetryDecision {}
+    record Elsewhere(CellRequest ask) implements RetryDecision {}
 
     /**
      * The request is asked for again and goes on after the tokens that the caller has.
      *
      * @param ask the same request with its arrival, the tokens so far, and the failed worker excluded if it failed
      */
-    record Resume(Ask ask) implements RetryDecision {}
+    record Resume(CellRequest ask) implements RetryDecision {}
 
     /**
      * Nothing more is tried.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryPolicy.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryPolicy.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.policy.retry;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /** Decides what follows a failed attempt. */
 public interface RetryPolicy {
@@ -14,5 +14,5 @@
      * @param nowNanos the time, of the clock that the ask's arrival was read from
      * @return what follows
      */
-    RetryDecision decide(Ask ask, Attempt attempt, boolean resumable, RetryBudget budget, long nowNanos);
+    RetryDecision decide(CellRequest ask, Attempt attempt, boolean resumable, RetryBudget budget, long nowNanos);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/SafeRetryPolicy.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/SafeRetryPolicy.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /**
  * Retries what can't run twice by it, within the budget, and never after the deadline of a class for which late is
@@ -29,7 +29,8 @@
     }
 
     @Override
-    public RetryDecision decide(Ask ask, Attempt attempt, boolean resumable, RetryBudget budget, long nowNanos) {
+    public RetryDecision decide(
+            CellRequest ask, Attempt attempt, boolean resumable, RetryBudget budget, long nowNanos) {
         Failure failure = classifier.classify(attempt);
         if (!mayRunAgain(ask, failure, resumable)) {
             return new RetryDecision.GiveUp(outcome(failure), RetryDecision.Reason.MAY_HAVE_RUN);
@@ -43,12 +44,12 @@
         if (!isOurs(attempt) && !isFirstResumption(ask, failure) && !budget.take()) {
             return new RetryDecision.GiveUp(outcome(failure), RetryDecision.Reason.BUDGET_SPENT);
         }
-        Ask next = next(ask, attempt, failure);
+        CellRequest next = next(ask, attempt, failure);
         boolean resumes = failure instanceof Failure.AnsweredInPart;
         return resumes ? new RetryDecision.Resume(next) : new RetryDecision.Elsewhere(next);
     }
 
-    private static boolean mayRunAgain(Ask ask, Failure failure, boolean resumable) {
+    private static boolean mayRunAgain(CellRequest ask, Failure failure, boolean resumable) {
         if (failure instanceof Failure.NotRun) {
             return true;
         }
@@ -56,7 +57,7 @@
         return ask.idempotent() && (!isPart || resumable);
     }
 
-    private static boolean isTooLate(Ask ask, Failure failure, long nowNanos) {
+    private static boolean isTooLate(CellRequest ask, Failure failure, long nowNanos) {
         boolean hasBegun = failure instanceof Failure.AnsweredInPart;
         return !hasBegun && ask.terms().lateIsUseless() && nowNanos >= ask.dueNanos();
     }
@@ -71,14 +72,14 @@
      * outcome is unknown, though all that is repeated is the reading of the prompt. Once a request, it can at most double
      * that part of the load.
      */
-    private static boolean isFirstResumption(Ask ask, Failure failure) {
+    private static boolean isFirstResumption(CellRequest ask, Failure failure) {
         return failure instanceof Failure.AnsweredInPart
                 && ask.excludedWorkers().isEmpty();
     }
 
-    private static Ask next(Ask ask, Attempt attempt, Failure failure) {
+    private static CellRequest next(CellRequest ask, Attempt attempt, Failure failure) {
         int resumed = failure instanceof Failure.AnsweredInPart part ? part.tokens() : ask.resumedTokens();
-        return new Ask(
+        return new CellRequest(
                 ask.id(),
                 ask.terms(),
                 ask.customer(),
@@ -90,7 +91,7 @@
                 excluded(ask, attempt));
     }
 
-    private static Set<String> excluded(Ask ask, Attempt attempt) {
+    private static Set<String> excluded(CellRequest ask, Attempt attempt) {
         boolean isFull = attempt.end() == Attempt.End.REFUSED_BEFORE_START;
         if (isOurs(attempt) || isFull) {
             return ask.excludedWorkers();
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/FifoSchedulerTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/FifoSchedulerTest.java
@@ -32,7 +32,7 @@
         assertThat(scheduler.waiting()).isEqualTo(2);
     }
 
-    private static Ask ask(String id) {
-        return new Ask(id, TERMS, "bank", 0, 10, 0, true, 0, Set.of());
+    private static CellRequest ask(String id) {
+        return new CellRequest(id, TERMS, "bank", 0, 10, 0, true, 0, Set.of());
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
@@ -34,10 +34,10 @@
         FAILED
     }
 
-    final Map<String, Ask> waiting = new LinkedHashMap<>();
+    final Map<String, CellRequest> waiting = new LinkedHashMap<>();
     final Map<String, End> ended = new HashMap<>();
     final Map<Long, CellEffect.Granted> grants = new LinkedHashMap<>();
-    final Map<String, Ask> asks = new HashMap<>();
+    final Map<String, CellRequest> asks = new HashMap<>();
     int sheds;
     int preemptions;
 
@@ -85,11 +85,11 @@
         }
     }
 
-    private Ask newAsk() {
+    private CellRequest newAsk() {
         lastId++;
         ClassTerms terms = CLASSES.get(random.nextInt(CLASSES.size()));
         long prefix = random.nextInt(4);
-        Ask ask = new Ask(
+        CellRequest ask = new CellRequest(
                 "r" + lastId,
                 terms,
                 "customer-" + random.nextInt(3),
@@ -103,7 +103,7 @@
         return ask;
     }
 
-    private void offer(Ask ask) {
+    private void offer(CellRequest ask) {
         waiting.put(ask.id(), ask);
         asks.put(ask.id(), ask);
         carryOut(scheduler.offer(ask, nowNanos));
@@ -163,7 +163,7 @@
     }
 
     private void carryOut(List<CellEffect> effects) {
-        List<Ask> stopped = new ArrayList<>();
+        List<CellRequest> stopped = new ArrayList<>();
         for (int i = 0; i < effects.size(); i++) {
             if (effects.get(i) instanceof CellEffect.Granted granted) {
                 granted(granted);
@@ -173,7 +173,7 @@
                 stopped.add(preempted(preempted, (CellEffect.Granted) effects.get(i + 1)));
             }
         }
-        for (Ask ask : stopped) {
+        for (CellRequest ask : stopped) {
             offer(ask);
         }
     }
@@ -191,7 +191,7 @@
     }
 
     private void refused(CellEffect.Refused refused) {
-        Ask ask = waiting.remove(refused.askId());
+        CellRequest ask = waiting.remove(refused.askId());
         assertThat(ended.put(refused.askId(), End.REFUSED)).isNull();
         assertThat(refused.retryAfterNanos()).isPositive();
         if (refused.reason() != RefusalReason.CELL_FULL) {
@@ -199,7 +199,7 @@
         }
         sheds++;
         Map<String, Integer> lower = new HashMap<>();
-        for (Ask other : waiting.values()) {
+        for (CellRequest other : waiting.values()) {
             if (other.terms().tier() > ask.terms().tier()) {
                 lower.merge(other.terms().name(), 1, Integer::sum);
             }
@@ -210,14 +210,14 @@
         }
     }
 
-    private Ask preempted(CellEffect.Preempted preempted, CellEffect.Granted instead) {
+    private CellRequest preempted(CellEffect.Preempted preempted, CellEffect.Granted instead) {
         preemptions++;
         assertThat(grants.remove(preempted.grant())).isNotNull();
-        Ask stopped = asks.get(preempted.askId());
-        Ask urgent = asks.get(instead.askId());
+        CellRequest stopped = asks.get(preempted.askId());
+        CellRequest urgent = asks.get(instead.askId());
         assertThat(stopped.idempotent()).isTrue();
         assertThat(stopped.terms().tier()).isGreaterThan(urgent.terms().tier());
-        return new Ask(
+        return new CellRequest(
                 stopped.id(),
                 stopped.terms(),
                 stopped.customer(),
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
@@ -120,8 +120,8 @@
         return TieredScheduler.builder().settings(settings.build()).build();
     }
 
-    private static Ask ask(String customer, int number, ClassTerms terms) {
-        return new Ask(customer + "-" + number, terms, customer, number * MILLI, 10, 0, true, 0, Set.of());
+    private static CellRequest ask(String customer, int number, ClassTerms terms) {
+        return new CellRequest(customer + "-" + number, terms, customer, number * MILLI, 10, 0, true, 0, Set.of());
     }
 
     /** A cell whose classes all want more than it can do; each step one request ends and two of each class come. */
@@ -160,7 +160,7 @@
             lastId++;
             String id = terms.name() + "-" + lastId;
             offeredAt.put(id, step);
-            Ask ask = new Ask(id, terms, "bank", step * MILLI, 0, 0, false, 0, Set.of());
+            CellRequest ask = new CellRequest(id, terms, "bank", step * MILLI, 0, 0, false, 0, Set.of());
             keep(scheduler.offer(ask, step * MILLI));
         }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
@@ -98,7 +98,7 @@
         return List.of(new WorkerInfo("llm-1", "ruwi-hall", concurrency, leaving));
     }
 
-    private static Ask ask(String id, ClassTerms terms) {
-        return new Ask(id, terms, "bank", 0, 10, 0, true, 0, Set.of());
+    private static CellRequest ask(String id, ClassTerms terms) {
+        return new CellRequest(id, terms, "bank", 0, 10, 0, true, 0, Set.of());
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.CellSettings;
 import org.dotterelcourse.policy.cell.ClassTerms;
 import org.dotterelcourse.policy.cell.Completion;
@@ -74,9 +74,9 @@
         long later = 6 * SECOND;
         ClassTerms top = new ClassTerms("teller", 1, 0, 10, true, SECOND, SECOND, 100);
 
-        Ask once = new Ask("once", TERMS, "bank", 0, 0, 0, false, 0, Set.of());
+        CellRequest once = new CellRequest("once", TERMS, "bank", 0, 0, 0, false, 0, Set.of());
         assertThat(rest).contains(place(new Candidate(once, 0, 1, false), later).worker());
-        Ask urgent = new Ask("urgent", top, "bank", 0, 0, 0, true, 0, Set.of());
+        CellRequest urgent = new CellRequest("urgent", top, "bank", 0, 0, 0, true, 0, Set.of());
         assertThat(rest)
                 .contains(place(new Candidate(urgent, 0, 1, false), later).worker());
     }
@@ -228,8 +228,8 @@
         return new Candidate(ask(prefix, tokens), 0, tokens, false);
     }
 
-    private static Ask ask(long prefix, int input) {
-        return new Ask("a", TERMS, "bank", 0, input, prefix, true, 0, Set.of());
+    private static CellRequest ask(long prefix, int input) {
+        return new CellRequest("a", TERMS, "bank", 0, input, prefix, true, 0, Set.of());
     }
 
     private static List<WorkerInfo> workers(int concurrency) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.ClassTerms;
 import org.junit.jupiter.api.Test;
 
@@ -114,7 +114,7 @@
         assertThat(retries).isLessThanOrEqualTo((int) (0.1 * successes) + 10);
     }
 
-    private static Ask ask(boolean idempotent, int resumedTokens) {
-        return new Ask("a", PAYOUT, "bank", 7, 10, 0, idempotent, resumedTokens, Set.of());
+    private static CellRequest ask(boolean idempotent, int resumedTokens) {
+        return new CellRequest("a", PAYOUT, "bank", 7, 10, 0, idempotent, resumedTokens, Set.of());
     }
 }
