--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
@@ -103,14 +103,14 @@
     private Decision decision(CellEffect effect) {
         if (effect instanceof CellEffect.Granted granted) {
             noteGrant(granted.grant(), granted.worker());
-            return new Decision.Granted(granted.askId(), granted.grant(), granted.worker());
+            return new Decision.Granted(granted.requestId(), granted.grant(), granted.worker());
         }
         if (effect instanceof CellEffect.Refused refused) {
-            return new Decision.Refused(refused.askId(), refused.reason().name(), refused.retryAfterNanos());
+            return new Decision.Refused(refused.requestId(), refused.reason().name(), refused.retryAfterNanos());
         }
         CellEffect.Preempted preempted = (CellEffect.Preempted) effect;
         running.remove(preempted.grant());
-        return new Decision.Preempted(preempted.askId(), preempted.grant());
+        return new Decision.Preempted(preempted.requestId(), preempted.grant());
     }
 
     private void noteGrant(long grant, String worker) {
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/DecisionCost.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/DecisionCost.java
@@ -126,7 +126,7 @@
     private void keep(List<CellEffect> effects) {
         for (CellEffect effect : effects) {
             if (effect instanceof CellEffect.Granted granted) {
-                running.add(new Running(granted.grant(), granted.askId()));
+                running.add(new Running(granted.grant(), granted.requestId()));
             }
         }
     }
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
@@ -151,9 +151,9 @@
     private void carryOut(List<CellEffect> effects) {
         for (CellEffect effect : effects) {
             if (effect instanceof CellEffect.Granted granted) {
-                send(open.get(granted.askId()), granted);
+                send(open.get(granted.requestId()), granted);
             } else if (effect instanceof CellEffect.Refused refused) {
-                refuse(open.remove(refused.askId()));
+                refuse(open.remove(refused.requestId()));
             } else if (effect instanceof CellEffect.Preempted preempted) {
                 preempt(preempted);
             }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
@@ -22,11 +22,11 @@
     /**
      * A waiting request is no longer wanted. Unknown ids are passed over.
      *
-     * @param askId the request's id
+     * @param requestId the request's id
      * @param nowNanos the time
      * @return what was decided
      */
-    List<CellEffect> withdraw(String askId, long nowNanos);
+    List<CellEffect> withdraw(String requestId, long nowNanos);
 
     /**
      * A granted request makes progress.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public List<CellEffect> withdraw(String askId, long nowNanos) {
-        queue.removeIf(ask -> ask.id().equals(askId));
+    public List<CellEffect> withdraw(String requestId, long nowNanos) {
+        queue.removeIf(ask -> ask.id().equals(requestId));
         return List.of();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -95,8 +95,8 @@
     }
 
     @Override
-    public List<CellEffect> withdraw(String askId, long nowNanos) {
-        queue.remove(askId);
+    public List<CellEffect> withdraw(String requestId, long nowNanos) {
+        queue.remove(requestId);
         return List.of();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/TieredQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/TieredQueue.java
@@ -70,8 +70,8 @@
     }
 
     @Override
-    public Optional<Waiting> remove(String askId) {
-        Waiting waiting = byId.get(askId);
+    public Optional<Waiting> remove(String requestId) {
+        Waiting waiting = byId.get(requestId);
         if (waiting == null) {
             return Optional.empty();
         }
@@ -98,8 +98,8 @@
     }
 
     @Override
-    public Optional<Waiting> take(String askId) {
-        Optional<Waiting> taken = remove(askId);
+    public Optional<Waiting> take(String requestId) {
+        Optional<Waiting> taken = remove(requestId);
         taken.ifPresent(waiting -> charge(classOf(waiting), waiting.work()));
         return taken;
     }
@@ -188,8 +188,8 @@
     }
 
     @Override
-    public boolean contains(String askId) {
-        return byId.containsKey(askId);
+    public boolean contains(String requestId) {
+        return byId.containsKey(requestId);
     }
 
     @Override
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/WaitingQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/WaitingQueue.java
@@ -26,10 +26,10 @@
     /**
      * Removes a request.
      *
-     * @param askId its id
+     * @param requestId its id
      * @return the request, or empty if it doesn't wait
      */
-    Optional<Waiting> remove(String askId);
+    Optional<Waiting> remove(String requestId);
 
     /**
      * Takes out the request that is to be served next, among those that can be placed.
@@ -44,10 +44,10 @@
     /**
      * Takes out a request to be served out of turn, and charges its class for it.
      *
-     * @param askId its id
+     * @param requestId its id
      * @return the request, or empty if it doesn't wait
      */
-    Optional<Waiting> take(String askId);
+    Optional<Waiting> take(String requestId);
 
     /**
      * The request of the highest tier that is next in that tier. It stays in the queue.
@@ -110,10 +110,10 @@
     /**
      * Whether a request waits.
      *
-     * @param askId its id
+     * @param requestId its id
      * @return whether it does
      */
-    boolean contains(String askId);
+    boolean contains(String requestId);
 
     /**
      * How many requests wait.
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
@@ -123,7 +123,7 @@
         if (end == Completion.End.LEAVING && listed != null && !listed.leaving()) {
             saidLeaving.add(granted.worker());
         }
-        ended.put(granted.askId(), ran ? End.ANSWERED : End.FAILED);
+        ended.put(granted.requestId(), ran ? End.ANSWERED : End.FAILED);
         long duration = (1 + random.nextInt(500)) * MILLI;
         carryOut(scheduler.release(
                 granted.grant(), new Completion(end, ran ? duration / 10 : -1, duration, tokens), nowNanos));
@@ -179,7 +179,7 @@
     }
 
     private void granted(CellEffect.Granted granted) {
-        assertThat(waiting.remove(granted.askId())).isNotNull();
+        assertThat(waiting.remove(granted.requestId())).isNotNull();
         WorkerInfo worker = workers.get(granted.worker());
         assertThat(worker.leaving()).isFalse();
         assertThat(saidLeaving).doesNotContain(worker.name());
@@ -191,8 +191,8 @@
     }
 
     private void refused(CellEffect.Refused refused) {
-        CellRequest ask = waiting.remove(refused.askId());
-        assertThat(ended.put(refused.askId(), End.REFUSED)).isNull();
+        CellRequest ask = waiting.remove(refused.requestId());
+        assertThat(ended.put(refused.requestId(), End.REFUSED)).isNull();
         assertThat(refused.retryAfterNanos()).isPositive();
         if (refused.reason() != RefusalReason.CELL_FULL) {
             return;
@@ -213,8 +213,8 @@
     private CellRequest preempted(CellEffect.Preempted preempted, CellEffect.Granted instead) {
         preemptions++;
         assertThat(grants.remove(preempted.grant())).isNotNull();
-        CellRequest stopped = asks.get(preempted.askId());
-        CellRequest urgent = asks.get(instead.askId());
+        CellRequest stopped = asks.get(preempted.requestId());
+        CellRequest urgent = asks.get(instead.requestId());
         assertThat(stopped.idempotent()).isTrue();
         assertThat(stopped.terms().tier()).isGreaterThan(urgent.terms().tier());
         return new CellRequest(
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
@@ -86,7 +86,7 @@
                 waiting.merge("quiet", 1, Integer::sum);
             }
             CellEffect.Granted granted = (CellEffect.Granted) effects.remove(0);
-            String customer = granted.askId().split("-")[0];
+            String customer = granted.requestId().split("-")[0];
             waiting.merge(customer, -1, Integer::sum);
             int tokens = (customer.equals("hot") ? 500 : 50) + random.nextInt(20);
             // Turns are charged by estimate, so the shares are even once lengths have been learned.
@@ -176,10 +176,10 @@
         private void keep(List<CellEffect> effects) {
             for (CellEffect effect : effects) {
                 if (effect instanceof CellEffect.Granted granted) {
-                    running.put(granted.grant(), granted.askId());
-                    stayed(granted.askId());
+                    running.put(granted.grant(), granted.requestId());
+                    stayed(granted.requestId());
                 } else if (effect instanceof CellEffect.Refused refused) {
-                    offeredAt.remove(refused.askId());
+                    offeredAt.remove(refused.requestId());
                 }
             }
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
@@ -38,7 +38,7 @@
         List<CellEffect> effects = scheduler.offer(ask("teller-1", TELLER), 2);
 
         assertThat(effects).singleElement().isInstanceOfSatisfying(CellEffect.Refused.class, refused -> {
-            assertThat(refused.askId()).isEqualTo("summary-2");
+            assertThat(refused.requestId()).isEqualTo("summary-2");
             assertThat(refused.reason()).isEqualTo(RefusalReason.CELL_FULL);
             assertThat(refused.retryAfterNanos()).isPositive();
         });
@@ -52,7 +52,7 @@
         scheduler.offer(ask("teller-2", TELLER), 0);
 
         assertThat(scheduler.offer(ask("teller-3", TELLER), 0))
-                .extracting(effect -> ((CellEffect.Refused) effect).askId())
+                .extracting(effect -> ((CellEffect.Refused) effect).requestId())
                 .containsExactly("teller-3");
         assertThat(scheduler.waiting()).isEqualTo(3);
     }
