--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
@@ -54,7 +54,7 @@
      * @param mechanism the mechanism
      * @return whether it is
      */
-    public boolean uses(Mechanism mechanism) {
+    public boolean isEnabled(Mechanism mechanism) {
         return !off.contains(mechanism);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -55,7 +55,7 @@
         settings = builder.settings;
         queue = new TieredQueue(settings);
         estimator =
-                settings.uses(Mechanism.LEARNED_ESTIMATES) ? new LearnedOutputEstimator() : new FixedOutputEstimator();
+                settings.isEnabled(Mechanism.LEARNED_ESTIMATES) ? new LearnedOutputEstimator() : new FixedOutputEstimator();
         admission = new DrainRateAdmission();
         placement = new CellPlacement(settings);
         preemption = new ResumablePreemption(settings, estimator, placement);
@@ -201,7 +201,7 @@
     }
 
     private void refuseExpired(List<CellEffect> effects, long nowNanos) {
-        if (!settings.uses(Mechanism.EARLY_REFUSAL)) {
+        if (!settings.isEnabled(Mechanism.EARLY_REFUSAL)) {
             return;
         }
         Optional<Waiting> expired = queue.expired(nowNanos);
@@ -213,7 +213,7 @@
 
     private void preempt(List<CellEffect> effects, long nowNanos) {
         boolean tooSoon = nowNanos - searchedNanos < PREEMPTION_INTERVAL_NANOS;
-        if (tooSoon || !settings.uses(Mechanism.PREEMPTION) || queue.size() == 0) {
+        if (tooSoon || !settings.isEnabled(Mechanism.PREEMPTION) || queue.size() == 0) {
             return;
         }
         Waiting urgent = queue.mostUrgent(nowNanos).orElseThrow();
@@ -249,7 +249,7 @@
     }
 
     private boolean isTooLate(CellRequest ask, double workAhead, long nowNanos) {
-        if (!settings.uses(Mechanism.EARLY_REFUSAL) || !ask.terms().lateIsUseless() || ask.resumedTokens() > 0) {
+        if (!settings.isEnabled(Mechanism.EARLY_REFUSAL) || !ask.terms().lateIsUseless() || ask.resumedTokens() > 0) {
             return false;
         }
         boolean isPast = admission.startByNanos(ask) <= nowNanos;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -100,7 +100,7 @@
             return Optional.empty();
         }
         long prefix = candidate.ask().prefix();
-        if (prefix == 0 || !settings.uses(Mechanism.PREFIX_AFFINITY)) {
+        if (prefix == 0 || !settings.isEnabled(Mechanism.PREFIX_AFFINITY)) {
             return Optional.of(best.name());
         }
         return Optional.of(home(candidate, free, bestFinish, nowNanos).name());
@@ -304,7 +304,7 @@
     }
 
     private void rest(Worker worker, long nowNanos) {
-        if (!settings.uses(Mechanism.EJECTION)) {
+        if (!settings.isEnabled(Mechanism.EJECTION)) {
             return;
         }
         int most = (int) (workers.size() * settings.maxEjectedFraction());
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -85,7 +85,7 @@
         if (health.isEjected()) {
             return Math.min(health.allowance(), info.concurrency());
         }
-        if (!settings.uses(Mechanism.STRAGGLER_WEIGHT)) {
+        if (!settings.isEnabled(Mechanism.STRAGGLER_WEIGHT)) {
             return info.concurrency();
         }
         return Math.max(1, (int) Math.round(info.concurrency() / health.slowFactor()));
@@ -102,7 +102,7 @@
         if (health.isEjected() && !mayProbe(candidate.ask())) {
             return false;
         }
-        if (!candidate.isLong() || !settings.uses(Mechanism.LONG_JOB_CAP)) {
+        if (!candidate.isLong() || !settings.isEnabled(Mechanism.LONG_JOB_CAP)) {
             return true;
         }
         return longRunning < Math.max(1, (int) (settings.longJobShare() * info.concurrency()));
@@ -116,7 +116,7 @@
     double expectedFinish(Candidate candidate, long nowNanos) {
         double load = (double) (grants.size() + foreign(nowNanos)) / Math.max(1, info.concurrency());
         double decode = candidate.expectedOutput() * (1 + settings.batchSlowdown() * load);
-        double slow = settings.uses(Mechanism.STRAGGLER_WEIGHT) ? health.slowFactor() : 1;
+        double slow = settings.isEnabled(Mechanism.STRAGGLER_WEIGHT) ? health.slowFactor() : 1;
         return slow * (pendingPrefill + candidate.prefillWork() + decode);
     }
 
@@ -201,7 +201,7 @@
 
     private int foreign(long nowNanos) {
         boolean fresh = foreign > 0 && nowNanos - reportNanos < settings.reportStaleNanos();
-        return fresh && settings.uses(Mechanism.LOAD_REPORTS) ? foreign : 0;
+        return fresh && settings.isEnabled(Mechanism.LOAD_REPORTS) ? foreign : 0;
     }
 
     private boolean isExcludedFor(CellRequest ask) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassQueue.java
@@ -48,8 +48,8 @@
     ClassQueue(ClassTerms terms, CellSettings settings) {
         this.name = terms.name();
         this.terms = terms;
-        this.customersShare = settings.uses(Mechanism.CUSTOMER_FAIRNESS);
-        this.lateLast = settings.uses(Mechanism.LATE_LAST);
+        this.customersShare = settings.isEnabled(Mechanism.CUSTOMER_FAIRNESS);
+        this.lateLast = settings.isEnabled(Mechanism.LATE_LAST);
     }
 
     String name() {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/TieredQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/TieredQueue.java
@@ -263,11 +263,11 @@
 
     private double share(ClassTerms terms) {
         double share = Math.max(terms.minimumShare(), settings.leastShare());
-        return settings.uses(Mechanism.MINIMUM_SHARE) ? share : 0;
+        return settings.isEnabled(Mechanism.MINIMUM_SHARE) ? share : 0;
     }
 
     private int tier(ClassTerms terms) {
-        return settings.uses(Mechanism.TIERS) ? terms.tier() : ClassTerms.HIGHEST_TIER;
+        return settings.isEnabled(Mechanism.TIERS) ? terms.tier() : ClassTerms.HIGHEST_TIER;
     }
 
     private ClassQueue classOf(Waiting waiting) {
