--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Contender.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Contender.java
@@ -40,7 +40,7 @@
         List<Contender> all = new ArrayList<>();
         for (Mechanism mechanism : Mechanism.values()) {
             String name = "without " + mechanism.name().toLowerCase(Locale.ROOT).replace('_', ' ');
-            all.add(new Contender(name, seed -> tiered(settings().without(mechanism))));
+            all.add(new Contender(name, seed -> tiered(settings().disable(mechanism))));
         }
         return all;
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
@@ -175,7 +175,7 @@
          * @param mechanism the mechanism
          * @return this
          */
-        public Builder without(Mechanism mechanism) {
+        public Builder disable(Mechanism mechanism) {
             off.add(mechanism);
             return this;
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
@@ -29,7 +29,7 @@
     @Property(seed = "62", tries = 60)
     void keepsItsPromisesWithAnyMechanismSwitchedOff(@ForAll long seed, @ForAll Mechanism off) {
         if (off != Mechanism.TIERS && off != Mechanism.MINIMUM_SHARE) {
-            new RandomTrace(seed, scheduler(CellSettings.builder().without(off)), true).run(400);
+            new RandomTrace(seed, scheduler(CellSettings.builder().disable(off)), true).run(400);
         }
     }
 
