--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
@@ -20,7 +20,7 @@
  * @param ejectionFailures failures in a row that eject a worker
  * @param maxEjectedFraction the most of a cell's workers that may be ejected
  * @param probeAfterNanos how long an ejected worker rests before its first probe, in nanoseconds
- * @param reportStaleNanos the age from which a load report says nothing, in nanoseconds
+ * @param maxReportAgeNanos the age from which a load report says nothing, in nanoseconds
  * @param off the mechanisms that are switched off
  */
 public record CellSettings(
@@ -37,7 +37,7 @@
         int ejectionFailures,
         double maxEjectedFraction,
         long probeAfterNanos,
-        long reportStaleNanos,
+        long maxReportAgeNanos,
         Set<Mechanism> off) {
     /**
      * Starts from the defaults.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -200,7 +200,7 @@
     }
 
     private int foreign(long nowNanos) {
-        boolean fresh = foreign > 0 && nowNanos - reportNanos < settings.reportStaleNanos();
+        boolean fresh = foreign > 0 && nowNanos - reportNanos < settings.maxReportAgeNanos();
         return fresh && settings.isEnabled(Mechanism.LOAD_REPORTS) ? foreign : 0;
     }
 
