--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
@@ -15,7 +15,7 @@
  * @param longJobShare the fraction of a worker's room that long requests may hold while others run
  * @param affinitySlack how much worse than the best worker, as a fraction, the one with the prefix may be
  * @param batchSlowdown how much slower, as a fraction, a full batch steps than an empty one
- * @param slowFactorIgnored a worker that is slower than the cell's median by less than this factor counts as normal
+ * @param toleratedSlowFactor a worker that is slower than the cell's median by less than this factor counts as normal
  * @param ejectionFactor a worker that is slower by this factor is ejected
  * @param ejectionFailures failures in a row that eject a worker
  * @param maxEjectedFraction the most of a cell's workers that may be ejected
@@ -32,7 +32,7 @@
         double longJobShare,
         double affinitySlack,
         double batchSlowdown,
-        double slowFactorIgnored,
+        double toleratedSlowFactor,
         double ejectionFactor,
         int ejectionFailures,
         double maxEjectedFraction,
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/WorkerHealth.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/WorkerHealth.java
@@ -40,7 +40,7 @@
             return;
         }
         double ratio = Math.min(SLOWEST, median / cellMedian);
-        slowFactor = ratio < settings.slowFactorIgnored() ? 1 : ratio;
+        slowFactor = ratio < settings.toleratedSlowFactor() ? 1 : ratio;
     }
 
     double slowFactor() {
