--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
@@ -30,7 +30,7 @@
     }
 
     void workers(List<WorkerInfo> workers, long nowNanos) {
-        held.addAll(scheduler.workers(workers, nowNanos));
+        held.addAll(scheduler.updateWorkers(workers, nowNanos));
     }
 
     void report(WorkerReport report, long nowNanos) {
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/DecisionCost.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/DecisionCost.java
@@ -97,7 +97,7 @@
         for (int i = 1; i <= Workload.WORKERS; i++) {
             workers.add(new WorkerInfo("llm-" + i, "ruwi-hall", FakeWorker.BATCH_LIMIT, false));
         }
-        keep(scheduler.workers(workers, 0));
+        keep(scheduler.updateWorkers(workers, 0));
         while (scheduler.waiting() < waiting) {
             boolean isShort = shape == Shape.LONG_HELD_BACK && running.size() < SHORT_AT_START;
             keep(scheduler.offer(ask(isShort), nowNanos));
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/LocalDaemonsScheduler.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/LocalDaemonsScheduler.java
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public List<CellEffect> workers(List<WorkerInfo> published, long nowNanos) {
+    public List<CellEffect> updateWorkers(List<WorkerInfo> published, long nowNanos) {
         workers = List.copyOf(published);
         return List.of();
     }
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
@@ -83,7 +83,7 @@
         for (FakeWorker worker : workers.values()) {
             published.add(new WorkerInfo(worker.name, "ruwi-hall", FakeWorker.BATCH_LIMIT, false));
         }
-        carryOut(scheduler.workers(published, 0));
+        carryOut(scheduler.updateWorkers(published, 0));
         tick(endNanos);
         report(endNanos);
         while (!events.isEmpty()) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
@@ -66,7 +66,7 @@
      * @param nowNanos the time
      * @return what was decided
      */
-    List<CellEffect> workers(List<WorkerInfo> workers, long nowNanos);
+    List<CellEffect> updateWorkers(List<WorkerInfo> workers, long nowNanos);
 
     /**
      * A worker's load report has arrived.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public List<CellEffect> workers(List<WorkerInfo> published, long nowNanos) {
+    public List<CellEffect> updateWorkers(List<WorkerInfo> published, long nowNanos) {
         workers = List.copyOf(published);
         return drain(nowNanos);
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public List<CellEffect> workers(List<WorkerInfo> published, long nowNanos) {
+    public List<CellEffect> updateWorkers(List<WorkerInfo> published, long nowNanos) {
         placement.workers(published, nowNanos);
         List<CellEffect> effects = new ArrayList<>();
         for (Waiting waiting : queue.all()) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/FifoSchedulerTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/FifoSchedulerTest.java
@@ -15,7 +15,7 @@
 
     @Test
     void servesInTheOrderOfArrivalAsWorkersGetFree() {
-        scheduler.workers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 1, false)), 0);
+        scheduler.updateWorkers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 1, false)), 0);
 
         assertThat(scheduler.offer(ask("a"), 0)).containsExactly(new CellEffect.Granted("a", 1, "llm-1"));
         assertThat(scheduler.offer(ask("b"), 1)).isEmpty();
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
@@ -153,7 +153,7 @@
             workers.put(name, new WorkerInfo(name, "ruwi-hall", 4, leaving));
         }
         saidLeaving.retainAll(workers.keySet());
-        carryOut(scheduler.workers(List.copyOf(workers.values()), nowNanos));
+        carryOut(scheduler.updateWorkers(List.copyOf(workers.values()), nowNanos));
     }
 
     private void report() {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
@@ -68,7 +68,7 @@
         // and
         // should notice nothing but that it has half.
         CellScheduler scheduler = scheduler(CellSettings.builder());
-        scheduler.workers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 1, false)), 0);
+        scheduler.updateWorkers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 1, false)), 0);
         Random random = new Random(seed);
         ClassTerms terms = RandomTrace.CLASSES.get(2);
         Map<String, Double> work = new HashMap<>();
@@ -139,7 +139,7 @@
         Saturated(CellScheduler scheduler, Random random) {
             this.scheduler = scheduler;
             this.random = random;
-            keep(scheduler.workers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 8, false)), 0));
+            keep(scheduler.updateWorkers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 8, false)), 0));
         }
 
         void replaceOne(Map<String, Double> work) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
@@ -26,7 +26,7 @@
         scheduler.offer(ask("summary-1", SUMMARY), 0);
         scheduler.offer(ask("teller-1", TELLER), 0);
 
-        assertThat(scheduler.workers(oneWorker(1, false), 1))
+        assertThat(scheduler.updateWorkers(oneWorker(1, false), 1))
                 .containsExactly(new CellEffect.Granted("teller-1", 1, "llm-1"));
     }
 
@@ -61,13 +61,13 @@
     void givesALeavingWorkerNothing() {
         // A VM is about to be replaced. The list of VMs lags, so the worker says it first, by refusing a request; what
         // were sent there afterwards would be cut off.
-        scheduler.workers(oneWorker(1, false), 0);
+        scheduler.updateWorkers(oneWorker(1, false), 0);
         scheduler.offer(ask("teller-1", TELLER), 0);
         scheduler.offer(ask("teller-2", TELLER), 0);
 
         assertThat(scheduler.release(1, new Completion(Completion.End.LEAVING, -1, 1, 0), 1))
                 .isEmpty();
-        assertThat(scheduler.workers(oneWorker(1, false), 2)).isEmpty();
+        assertThat(scheduler.updateWorkers(oneWorker(1, false), 2)).isEmpty();
         assertThat(scheduler.offer(ask("teller-3", TELLER), 3)).hasOnlyElementsOfType(CellEffect.Refused.class);
     }
 
@@ -84,7 +84,7 @@
     @Test
     void preemptsALongStreamOfALowerTierForAnUrgentRequest() {
         // Every slot holds a long summary when a teller comes; waiting for one to end would miss the teller's target.
-        scheduler.workers(oneWorker(1, false), 0);
+        scheduler.updateWorkers(oneWorker(1, false), 0);
         scheduler.offer(ask("summary-1", SUMMARY), 0);
         scheduler.progress(1, 10, SECOND / 2);
 
