--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
@@ -34,7 +34,7 @@
     }
 
     void report(WorkerReport report, long nowNanos) {
-        held.addAll(scheduler.report(report, nowNanos));
+        held.addAll(scheduler.recordLoadReport(report, nowNanos));
     }
 
     /** The newest grant, as a mark for {@link #hasGrantUpTo}. */
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/LocalDaemonsScheduler.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/LocalDaemonsScheduler.java
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public List<CellEffect> report(WorkerReport report, long nowNanos) {
+    public List<CellEffect> recordLoadReport(WorkerReport report, long nowNanos) {
         reports.put(report.worker(), report);
         return List.of();
     }
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
@@ -140,7 +140,7 @@
         for (FakeWorker worker : workers.values()) {
             if (!worker.down && !worker.silent) {
                 WorkerReport report = new WorkerReport(worker.name, nowNanos, worker.running(), worker.waiting.size());
-                at(nowNanos + reportLagNanos, () -> carryOut(scheduler.report(report, nowNanos)));
+                at(nowNanos + reportLagNanos, () -> carryOut(scheduler.recordLoadReport(report, nowNanos)));
             }
         }
         if (nowNanos < endNanos) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
@@ -75,7 +75,7 @@
      * @param nowNanos the time
      * @return what was decided
      */
-    List<CellEffect> report(WorkerReport report, long nowNanos);
+    List<CellEffect> recordLoadReport(WorkerReport report, long nowNanos);
 
     /**
      * Time has passed. To be called every few tens of milliseconds.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public List<CellEffect> report(WorkerReport report, long nowNanos) {
+    public List<CellEffect> recordLoadReport(WorkerReport report, long nowNanos) {
         return List.of();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public List<CellEffect> report(WorkerReport report, long nowNanos) {
+    public List<CellEffect> recordLoadReport(WorkerReport report, long nowNanos) {
         placement.report(report, nowNanos);
         return serve(nowNanos);
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
@@ -159,7 +159,7 @@
     private void report() {
         String worker = "llm-" + (1 + random.nextInt(3));
         long measured = nowNanos - random.nextInt(5_000) * MILLI;
-        carryOut(scheduler.report(new WorkerReport(worker, measured, random.nextInt(6), random.nextInt(3)), nowNanos));
+        carryOut(scheduler.recordLoadReport(new WorkerReport(worker, measured, random.nextInt(6), random.nextInt(3)), nowNanos));
     }
 
     private void carryOut(List<CellEffect> effects) {
