--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
@@ -49,7 +49,7 @@
     }
 
     int waiting() {
-        return scheduler.waiting();
+        return scheduler.waitingCount();
     }
 
     @Override
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/DecisionCost.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/DecisionCost.java
@@ -98,7 +98,7 @@
             workers.add(new WorkerInfo("llm-" + i, "ruwi-hall", FakeWorker.BATCH_LIMIT, false));
         }
         keep(scheduler.updateWorkers(workers, 0));
-        while (scheduler.waiting() < waiting) {
+        while (scheduler.waitingCount() < waiting) {
             boolean isShort = shape == Shape.LONG_HELD_BACK && running.size() < SHORT_AT_START;
             keep(scheduler.offer(ask(isShort), nowNanos));
         }
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/LocalDaemonsScheduler.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/LocalDaemonsScheduler.java
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public int waiting() {
+    public int waitingCount() {
         return 0;
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
@@ -90,5 +90,5 @@
      *
      * @return the number
      */
-    int waiting();
+    int waitingCount();
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public int waiting() {
+    public int waitingCount() {
         return queue.size();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public int waiting() {
+    public int waitingCount() {
         return queue.size();
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/FifoSchedulerTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/FifoSchedulerTest.java
@@ -29,7 +29,7 @@
         scheduler.offer(ask("b"), 0);
 
         assertThat(scheduler.offer(ask("c"), 0)).hasOnlyElementsOfType(CellEffect.Refused.class);
-        assertThat(scheduler.waiting()).isEqualTo(2);
+        assertThat(scheduler.waitingCount()).isEqualTo(2);
     }
 
     private static CellRequest ask(String id) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
@@ -60,7 +60,7 @@
         for (int i = 0; i < steps; i++) {
             nowNanos += random.nextInt(20) * MILLI;
             step();
-            assertThat(scheduler.waiting()).isEqualTo(waiting.size());
+            assertThat(scheduler.waitingCount()).isEqualTo(waiting.size());
             assertThat(waiting.size()).isLessThanOrEqualTo(MAX_WAITING + CLASSES.size() * GUARANTEED);
             assertThat(waiting.size() + ended.size() + grants.size()).isEqualTo(asks.size());
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
@@ -42,7 +42,7 @@
             assertThat(refused.reason()).isEqualTo(RefusalReason.CELL_FULL);
             assertThat(refused.retryAfterNanos()).isPositive();
         });
-        assertThat(scheduler.waiting()).isEqualTo(2);
+        assertThat(scheduler.waitingCount()).isEqualTo(2);
     }
 
     @Test
@@ -54,7 +54,7 @@
         assertThat(scheduler.offer(ask("teller-3", TELLER), 0))
                 .extracting(effect -> ((CellEffect.Refused) effect).requestId())
                 .containsExactly("teller-3");
-        assertThat(scheduler.waiting()).isEqualTo(3);
+        assertThat(scheduler.waitingCount()).isEqualTo(3);
     }
 
     @Test
@@ -78,7 +78,7 @@
         assertThat(scheduler.advance(SECOND))
                 .extracting(effect -> ((CellEffect.Refused) effect).reason())
                 .containsExactly(RefusalReason.TOO_LATE);
-        assertThat(scheduler.waiting()).isZero();
+        assertThat(scheduler.waitingCount()).isZero();
     }
 
     @Test
