--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
@@ -6,7 +6,7 @@
 import org.dotterelcourse.daemon.upstream.UpstreamFailure;
 import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.retry.Attempt;
-import org.dotterelcourse.policy.retry.EvidenceClassifier;
+import org.dotterelcourse.policy.retry.ConservativeFailureClassifier;
 import org.dotterelcourse.policy.retry.FractionRetryBudget;
 import org.dotterelcourse.policy.retry.RetryBudget;
 import org.dotterelcourse.policy.retry.RetryDecision;
@@ -15,7 +15,7 @@
 
 /** Asks the retry policy, with one budget for each upstream. */
 public final class Retries {
-    private final RetryPolicy policy = new SafeRetryPolicy(new EvidenceClassifier());
+    private final RetryPolicy policy = new SafeRetryPolicy(new ConservativeFailureClassifier());
     private final Map<String, RetryBudget> budgets = new HashMap<>();
 
     /**
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
@@ -14,7 +14,7 @@
 import org.dotterelcourse.policy.cell.WorkerInfo;
 import org.dotterelcourse.policy.cell.WorkerReport;
 import org.dotterelcourse.policy.retry.Attempt;
-import org.dotterelcourse.policy.retry.EvidenceClassifier;
+import org.dotterelcourse.policy.retry.ConservativeFailureClassifier;
 import org.dotterelcourse.policy.retry.RetryBudget;
 import org.dotterelcourse.policy.retry.RetryDecision;
 import org.dotterelcourse.policy.retry.RetryPolicy;
@@ -36,7 +36,7 @@
 
     private final CellScheduler scheduler;
     private final RetryBudget retryBudget;
-    private final RetryPolicy retryPolicy = new SafeRetryPolicy(new EvidenceClassifier());
+    private final RetryPolicy retryPolicy = new SafeRetryPolicy(new ConservativeFailureClassifier());
     private final long reportLagNanos;
     private final PriorityQueue<Event> events = new PriorityQueue<>((left, right) -> left.atNanos() == right.atNanos()
             ? Long.compare(left.sequence(), right.sequence())
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/EvidenceClassifier.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/ConservativeFailureClassifier.java
@@ -4,7 +4,7 @@
  * Says "not run" only on evidence: nothing was sent, or the worker itself refused before it started. Without this line, a
  * payout whose connection broke after it was sent would be told not run, asked for again, and paid twice.
  */
-public final class EvidenceClassifier implements FailureClassifier {
+public final class ConservativeFailureClassifier implements FailureClassifier {
     @Override
     public Failure classify(Attempt attempt) {
         if (!attempt.nothingSeen()) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
@@ -15,7 +15,7 @@
 class SafeRetryPolicyTest {
     private static final ClassTerms PAYOUT = new ClassTerms("payout", 1, 0, 10, false, 1_000, 100, 100);
 
-    private final RetryPolicy policy = new SafeRetryPolicy(new EvidenceClassifier());
+    private final RetryPolicy policy = new SafeRetryPolicy(new ConservativeFailureClassifier());
     private final RetryBudget budget = new FractionRetryBudget(0.1, 2);
 
     @Property(seed = "41", tries = 200)
