--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
@@ -10,7 +10,7 @@
  */
 public final class FractionRetryBudget implements RetryBudget {
     /** The usual fraction of successes. */
-    public static final double USUAL_FRACTION = 0.1;
+    public static final double DEFAULT_FRACTION = 0.1;
 
     /**
      * The usual reserve: retries that may be made before any success, and the most that can be saved up. An engine runs 64
