--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
@@ -56,6 +56,6 @@
     private RetryBudget budget(String upstream) {
         return budgets.computeIfAbsent(
                 upstream,
-                name -> new FractionRetryBudget(FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.USUAL_RESERVE));
+                name -> new FractionRetryBudget(FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.DEFAULT_RESERVE));
     }
 }
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Experiment.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Experiment.java
@@ -22,7 +22,7 @@
 
     static Outcome once(Pattern pattern, Contender contender, long seed) {
         RetryBudget budget =
-                new FractionRetryBudget(FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.USUAL_RESERVE);
+                new FractionRetryBudget(FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.DEFAULT_RESERVE);
         Trial trial = new Trial(contender.maker().apply(seed), budget, Workload.WORKERS, pattern.reportLagNanos());
         pattern.prepare(trial, new Workload(trial, seed));
         trial.run(Pattern.SECONDS * Workload.SECOND);
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/RetryLoad.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/RetryLoad.java
@@ -36,7 +36,7 @@
     static Result bounded(int failingPercent) {
         return run(
                 failingPercent,
-                new FractionRetryBudget(FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.USUAL_RESERVE));
+                new FractionRetryBudget(FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.DEFAULT_RESERVE));
     }
 
     static Result unbounded(int failingPercent) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
@@ -17,7 +17,7 @@
      * requests, of which each of eight daemons has 8; it covers four engines whose connections are cut one after the
      * other. With 10, a daemon that had just started told 11 callers of 180 that their outcome was unknown.
      */
-    public static final int USUAL_RESERVE = 32;
+    public static final int DEFAULT_RESERVE = 32;
 
     private final double fraction;
     private final double reserve;
