--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
@@ -37,7 +37,7 @@
      * @param upstream the upstream's name
      */
     synchronized void succeeded(String upstream) {
-        budget(upstream).succeeded();
+        budget(upstream).recordSuccess();
     }
 
     /** What the policy is told of a failure. */
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/RetryLoad.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/RetryLoad.java
@@ -21,7 +21,7 @@
 
     private static final class Unbounded implements RetryBudget {
         @Override
-        public void succeeded() {
+        public void recordSuccess() {
             // Nothing is counted.
         }
 
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
@@ -277,7 +277,7 @@
         job.call.state = Call.State.ANSWERED;
         boolean useless = job.call.ask.terms().lateIsUseless() && !job.call.attained();
         tally.wasted += useless ? job.call.totalTokens : 0;
-        retryBudget.succeeded();
+        retryBudget.recordSuccess();
         open.remove(job.call.ask.id());
         release(job, Completion.End.ANSWERED);
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void succeeded() {
+    public void recordSuccess() {
         balance = Math.min(reserve, balance + fraction);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryBudget.java
@@ -3,7 +3,7 @@
 /** How many retries an upstream may be sent. Not safe for use by several threads at once. */
 public interface RetryBudget {
     /** A request was answered. */
-    void succeeded();
+    void recordSuccess();
 
     /**
      * Takes one retry out of the budget.
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
@@ -106,7 +106,7 @@
         for (int i = 0; i < 5_000; i++) {
             if (random.nextInt(100) >= failPercent) {
                 successes++;
-                tenth.succeeded();
+                tenth.recordSuccess();
             } else if (tenth.take()) {
                 retries++;
             }
