--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/RetryLoad.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/RetryLoad.java
@@ -26,7 +26,7 @@
         }
 
         @Override
-        public boolean take() {
+        public boolean tryAcquire() {
             return true;
         }
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public boolean take() {
+    public boolean tryAcquire() {
         if (balance < 1) {
             return false;
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryBudget.java
@@ -10,5 +10,5 @@
      *
      * @return whether there was one left
      */
-    boolean take();
+    boolean tryAcquire();
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/SafeRetryPolicy.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/SafeRetryPolicy.java
@@ -41,7 +41,7 @@
         if (excluded(ask, attempt).size() > MOST_EXCLUDED) {
             return new RetryDecision.GiveUp(outcome(failure), RetryDecision.Reason.FAILED_BY_MANY);
         }
-        if (!isOurs(attempt) && !isFirstResumption(ask, failure) && !budget.take()) {
+        if (!isOurs(attempt) && !isFirstResumption(ask, failure) && !budget.tryAcquire()) {
             return new RetryDecision.GiveUp(outcome(failure), RetryDecision.Reason.BUDGET_SPENT);
         }
         CellRequest next = next(ask, attempt, failure);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
@@ -66,7 +66,7 @@
     void goesOnOnceWithAnAnswerThatBrokeOffThoughTheBudgetIsSpent() {
         // Something between a daemon and an engine cuts all connections at once, and more answers break off than the
         // budget covers. Callers who have half of their answer would be told that nobody knows what became of it.
-        while (budget.take()) {
+        while (budget.tryAcquire()) {
             // Spends it.
         }
         Attempt cut = new Attempt("llm-1", Attempt.End.BROKEN, true, 40, false);
@@ -81,8 +81,8 @@
 
     @Test
     void asksForPreemptedWorkAgainWithoutTheBudget() {
-        budget.take();
-        budget.take();
+        budget.tryAcquire();
+        budget.tryAcquire();
         Attempt preempted = new Attempt("llm-1", Attempt.End.PREEMPTED, true, 40, false);
 
         assertThat(policy.decide(ask(true, 0), preempted, true, budget, 5))
@@ -107,7 +107,7 @@
             if (random.nextInt(100) >= failPercent) {
                 successes++;
                 tenth.recordSuccess();
-            } else if (tenth.take()) {
+            } else if (tenth.tryAcquire()) {
                 retries++;
             }
         }
