--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatDispatcher.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatDispatcher.java
@@ -103,7 +103,7 @@
         Attempt attempt = Retries.attempt(grant.worker().name(), failure, progress.tokens());
         RetryDecision decision =
                 retries.decide(progress.call().requestClass().upstream(), progress.ask(), attempt, true);
-        if (decision instanceof RetryDecision.Elsewhere elsewhere) {
+        if (decision instanceof RetryDecision.Restart elsewhere) {
             progress.next(elsewhere.ask());
             return attempt(progress);
         }
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
@@ -308,7 +308,7 @@
         tally.retries += attempt.end() == Attempt.End.PREEMPTED ? 0 : 1;
         call.ask = decision instanceof RetryDecision.Resume resume
                 ? resume.ask()
-                : ((RetryDecision.Elsewhere) decision).ask();
+                : ((RetryDecision.Restart) decision).ask();
         carryOut(scheduler.offer(call.ask, nowNanos));
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryDecision.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryDecision.java
@@ -9,7 +9,7 @@
      *
      * @param ask the same request with its arrival, its deadline and the failed worker excluded
      */
-    record Elsewhere(CellRequest ask) implements RetryDecision {}
+    record Restart(CellRequest ask) implements RetryDecision {}
 
     /**
      * The request is asked for again and goes on after the tokens that the caller has.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/SafeRetryPolicy.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/SafeRetryPolicy.java
@@ -46,7 +46,7 @@
         }
         CellRequest next = next(ask, attempt, failure);
         boolean resumes = failure instanceof Failure.AnsweredInPart;
-        return resumes ? new RetryDecision.Resume(next) : new RetryDecision.Elsewhere(next);
+        return resumes ? new RetryDecision.Resume(next) : new RetryDecision.Restart(next);
     }
 
     private static boolean mayRunAgain(CellRequest ask, Failure failure, boolean resumable) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
@@ -41,7 +41,7 @@
 
         RetryDecision decision = policy.decide(ask(false, 0), refused, true, budget, 5);
 
-        assertThat(decision).isInstanceOfSatisfying(RetryDecision.Elsewhere.class, elsewhere -> {
+        assertThat(decision).isInstanceOfSatisfying(RetryDecision.Restart.class, elsewhere -> {
             assertThat(elsewhere.ask().arrivalNanos()).isEqualTo(7);
             assertThat(elsewhere.ask().dueNanos()).isEqualTo(1_007);
             assertThat(elsewhere.ask().excludedWorkers()).containsExactly("llm-1");
