--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatDispatcher.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatDispatcher.java
@@ -104,11 +104,11 @@
         RetryDecision decision =
                 retries.decide(progress.call().requestClass().upstream(), progress.ask(), attempt, true);
         if (decision instanceof RetryDecision.Restart elsewhere) {
-            progress.next(elsewhere.ask());
+            progress.next(elsewhere.request());
             return attempt(progress);
         }
         if (decision instanceof RetryDecision.Resume resume) {
-            progress.next(resume.ask());
+            progress.next(resume.request());
             return attempt(progress);
         }
         RetryDecision.GiveUp given = (RetryDecision.GiveUp) decision;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcher.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcher.java
@@ -97,7 +97,7 @@
         boolean mayHaveRunNow = mayHaveRun || !failure.notRun();
         Attempt attempt = Retries.attempt(grant.worker().name(), failure, 0);
         if (retries.decide(upstream, ask, attempt, false) instanceof RetryDecision.Restart elsewhere) {
-            return attempt(sending.after(failure), elsewhere.ask(), mayHaveRunNow);
+            return attempt(sending.after(failure), elsewhere.request(), mayHaveRunNow);
         }
         return Mono.just(new ServiceAnswer.Failed(Refusals.failure(failure, mayHaveRunNow)));
     }
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
@@ -307,8 +307,8 @@
         }
         tally.retries += attempt.end() == Attempt.End.PREEMPTED ? 0 : 1;
         call.ask = decision instanceof RetryDecision.Resume resume
-                ? resume.ask()
-                : ((RetryDecision.Restart) decision).ask();
+                ? resume.request()
+                : ((RetryDecision.Restart) decision).request();
         carryOut(scheduler.offer(call.ask, nowNanos));
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryDecision.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryDecision.java
@@ -7,16 +7,16 @@
     /**
      * The request is asked for again from its start.
      *
-     * @param ask the same request with its arrival, its deadline and the failed worker excluded
+     * @param request the same request with its arrival, its deadline and the failed worker excluded
      */
-    record Restart(CellRequest ask) implements RetryDecision {}
+    record Restart(CellRequest request) implements RetryDecision {}
 
     /**
      * The request is asked for again and goes on after the tokens that the caller has.
      *
-     * @param ask the same request with its arrival, the tokens so far, and the failed worker excluded if it failed
+     * @param request the same request with its arrival, the tokens so far, and the failed worker excluded if it failed
      */
-    record Resume(CellRequest ask) implements RetryDecision {}
+    record Resume(CellRequest request) implements RetryDecision {}
 
     /**
      * Nothing more is tried.
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/retry/SafeRetryPolicyTest.java
@@ -42,9 +42,9 @@
         RetryDecision decision = policy.decide(ask(false, 0), refused, true, budget, 5);
 
         assertThat(decision).isInstanceOfSatisfying(RetryDecision.Restart.class, elsewhere -> {
-            assertThat(elsewhere.ask().arrivalNanos()).isEqualTo(7);
-            assertThat(elsewhere.ask().dueNanos()).isEqualTo(1_007);
-            assertThat(elsewhere.ask().excludedWorkers()).containsExactly("llm-1");
+            assertThat(elsewhere.request().arrivalNanos()).isEqualTo(7);
+            assertThat(elsewhere.request().dueNanos()).isEqualTo(1_007);
+            assertThat(elsewhere.request().excludedWorkers()).containsExactly("llm-1");
         });
     }
 
@@ -57,7 +57,7 @@
         assertThat(policy.decide(ask(true, 10), crash, true, budget, 5))
                 .isInstanceOfSatisfying(
                         RetryDecision.Resume.class,
-                        resume -> assertThat(resume.ask().resumedTokens()).isEqualTo(40));
+                        resume -> assertThat(resume.request().resumedTokens()).isEqualTo(40));
         assertThat(policy.decide(ask(true, 10), crash, false, budget, 5))
                 .isEqualTo(new RetryDecision.GiveUp(new FinalOutcome.CutShort(40), RetryDecision.Reason.MAY_HAVE_RUN));
     }
@@ -75,7 +75,7 @@
 
         assertThat(first).isInstanceOf(RetryDecision.Resume.class);
         Attempt again = new Attempt("llm-2", Attempt.End.BROKEN, true, 60, false);
-        assertThat(policy.decide(((RetryDecision.Resume) first).ask(), again, true, budget, 5))
+        assertThat(policy.decide(((RetryDecision.Resume) first).request(), again, true, budget, 5))
                 .isEqualTo(new RetryDecision.GiveUp(new FinalOutcome.CutShort(60), RetryDecision.Reason.BUDGET_SPENT));
     }
 
@@ -88,7 +88,7 @@
         assertThat(policy.decide(ask(true, 0), preempted, true, budget, 5))
                 .isInstanceOfSatisfying(
                         RetryDecision.Resume.class,
-                        resume -> assertThat(resume.ask().excludedWorkers()).isEmpty());
+                        resume -> assertThat(resume.request().excludedWorkers()).isEmpty());
         Attempt broken = new Attempt("llm-1", Attempt.End.BROKEN, true, 0, true);
         assertThat(policy.decide(ask(true, 0), broken, true, budget, 5))
                 .isEqualTo(new RetryDecision.GiveUp(new FinalOutcome.Unknown(), RetryDecision.Reason.BUDGET_SPENT));
