--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
@@ -56,6 +56,7 @@
     private RetryBudget budget(String upstream) {
         return budgets.computeIfAbsent(
                 upstream,
-                name -> new FractionRetryBudget(FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.DEFAULT_RESERVE));
+                name -> new FractionRetryBudget(
+                        FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.DEFAULT_RESERVE));
     }
 }
