--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/Admission.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/Admission.java
@@ -3,52 +3,56 @@
 import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.Completion;
 
-/** Foretells how long requests wait, and refuses early what would come too late. */
+/**
+ * Admission control of a cell: estimates queueing delays, and decides which requests to reject early because they would
+ * miss their target. Not safe for use by several threads at once.
+ */
 public interface Admission {
     /**
-     * Learns from a request that has left a worker.
+     * Updates the estimates with a request that has left its worker.
      *
-     * @param ask the request
-     * @param work the work it was, in output tokens
-     * @param completion what was seen
-     * @param nowNanos the time
+     * @param request the request
+     * @param work its actual cost, in output tokens
+     * @param completion the measured times and token count of the request
+     * @param nowNanos current monotonic time in nanoseconds
      */
-    void observe(CellRequest ask, double work, Completion completion, long nowNanos);
+    void observe(CellRequest request, double work, Completion completion, long nowNanos);
 
     /**
-     * Whether a request would come too late, and is useless late.
+     * Whether a request would miss its target and belongs to a class whose late answers are useless.
      *
-     * @param ask the request
-     * @param workAhead the work that is served before it, in output tokens
-     * @param slots how many requests the cell's workers run at once
-     * @param nowNanos the time
-     * @return whether it is better refused now
+     * @param request the request
+     * @param workAhead estimated cost of the requests that are served before it, in output tokens
+     * @param slots number of requests that the workers of the cell can run concurrently
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return whether the request should be rejected now
      */
-    boolean tooLate(CellRequest ask, double workAhead, int slots, long nowNanos);
+    boolean isTooLate(CellRequest request, double workAhead, int slots, long nowNanos);
 
     /**
-     * How long the cell takes over some work.
+     * Estimates how long the cell needs to complete the given work.
      *
-     * @param work in output tokens
-     * @param slots how many requests the cell's workers run at once
-     * @return nanoseconds; 0 while nothing is known
+     * @param work the work, in output tokens
+     * @param slots number of requests that the workers of the cell can run concurrently
+     * @return nanoseconds; 0 as long as too few requests have been measured for an estimate
      */
     long drainNanos(double work, int slots);
 
     /**
-     * When it is worth asking again.
+     * The delay after which a rejected request may usefully be sent again.
      *
-     * @param workAhead the work that is served before the request, in output tokens
-     * @param slots how many requests the cell's workers run at once
-     * @return nanoseconds from now
+     * @param workAhead estimated cost of the requests that would be served before it, in output tokens
+     * @param slots number of requests that the workers of the cell can run concurrently
+     * @return nanoseconds from now, always positive
      */
     long retryAfterNanos(double workAhead, int slots);
 
     /**
-     * When a request must be granted at the latest to meet its target.
+     * The latest time at which a request can be granted and still meet its target.
      *
-     * @param ask the request
-     * @return nanoseconds; {@link Long#MAX_VALUE} for an answer that has begun, which nothing makes late
+     * @param request the request
+     * @return monotonic time in nanoseconds; {@link Long#MAX_VALUE} for a resumed request, which cannot be late because
+     *     its caller has received a part of the answer
      */
-    long startByNanos(CellRequest ask);
+    long latestStartNanos(CellRequest request);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/DrainRateAdmission.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/DrainRateAdmission.java
@@ -7,79 +7,84 @@
 import org.dotterelcourse.policy.cell.Completion;
 
 /**
- * Foretells waits from the measured rate at which the cell's slots do work.
+ * Estimates queueing delays from the measured rate at which the slots of the cell complete work.
  *
- * <p>Answers the load patterns of sustained overload and of callers that ask again at once. Without early refusal,
- * eligibility checks that will miss their target wait for it all the same, and then take a slot for an answer that
- * nobody reads. Without a measured retry-after, refused callers come back together after a fixed time.
+ * <p>Answers sustained overload and callers that retry immediately. Without early rejection, requests that cannot meet
+ * their target wait anyway and then occupy a slot for an answer that nobody reads. Without a measured retry-after, all
+ * rejected callers return at the same time after a fixed delay.
  *
- * <p>The rate is work over time held, both decaying, and so doesn't fall while the cell idles. A half-life of 64 requests
- * is some seconds under load; the first {@value #FEWEST_SEEN} say nothing.
+ * <p>The rate is completed work divided by slot time. Both sums decay per request and not per time unit, so the rate
+ * does not drop while the cell is idle. The half-life of 64 requests corresponds to a few seconds under load. No
+ * estimate is given before {@value #MIN_SAMPLES} requests have completed.
  */
 public final class DrainRateAdmission implements Admission {
-    private static final int FEWEST_SEEN = 16;
-    private static final double KEPT = Math.pow(0.5, 1.0 / 64);
-    /** A worker's own time may be taken to use so much of a target: else a bad spell would refuse a class for good. */
-    private static final double MOST_OF_TARGET = 0.75;
+    private static final int MIN_SAMPLES = 16;
+    private static final double DECAY_PER_SAMPLE = Math.pow(0.5, 1.0 / 64);
+    /**
+     * Upper bound of the estimated time to the first token, as a fraction of the target. Without it, a phase of slow
+     * answers would make every request of a class too late and so reject the class permanently.
+     */
+    private static final double MAX_FIRST_TOKEN_FRACTION = 0.75;
 
-    private static final long SHORTEST_RETRY_NANOS = 250_000_000L;
-    private static final long LONGEST_RETRY_NANOS = 60_000_000_000L;
-    private static final long UNKNOWN_RETRY_NANOS = 1_000_000_000L;
+    private static final long MIN_RETRY_AFTER_NANOS = 250_000_000L;
+    private static final long MAX_RETRY_AFTER_NANOS = 60_000_000_000L;
+    private static final long DEFAULT_RETRY_AFTER_NANOS = 1_000_000_000L;
 
-    private final Map<String, FirstTokenTime> firstTokens = new HashMap<>();
-    private double workDone;
+    private final Map<String, FirstTokenTime> firstTokenTimeByClass = new HashMap<>();
+    private double completedWork;
     private double slotNanos;
-    private int seen;
+    private int samples;
 
     @Override
-    public void observe(CellRequest ask, double work, Completion completion, long nowNanos) {
+    public void observe(CellRequest request, double work, Completion completion, long nowNanos) {
         if (work <= 0 || completion.durationNanos() <= 0) {
             return;
         }
-        seen = Math.min(seen + 1, FEWEST_SEEN);
-        workDone = workDone * KEPT + work;
-        slotNanos = slotNanos * KEPT + completion.durationNanos();
+        samples = Math.min(samples + 1, MIN_SAMPLES);
+        completedWork = completedWork * DECAY_PER_SAMPLE + work;
+        slotNanos = slotNanos * DECAY_PER_SAMPLE + completion.durationNanos();
         if (completion.firstTokenNanos() >= 0) {
-            firstTokens
-                    .computeIfAbsent(ask.terms().name(), name -> new FirstTokenTime())
+            firstTokenTimeByClass
+                    .computeIfAbsent(request.terms().name(), name -> new FirstTokenTime())
                     .add(completion.firstTokenNanos());
         }
     }
 
     @Override
-    public boolean tooLate(CellRequest ask, double workAhead, int slots, long nowNanos) {
-        if (!ask.terms().lateIsUseless()) {
+    public boolean isTooLate(CellRequest request, double workAhead, int slots, long nowNanos) {
+        if (!request.terms().lateIsUseless()) {
             return false;
         }
         long startNanos = nowNanos + drainNanos(workAhead, slots);
-        return startNanos > startByNanos(ask);
+        return startNanos > latestStartNanos(request);
     }
 
     @Override
     public long drainNanos(double work, int slots) {
-        if (seen < FEWEST_SEEN || workDone <= 0 || slots == 0) {
+        if (samples < MIN_SAMPLES || completedWork <= 0 || slots == 0) {
             return 0;
         }
-        return (long) (work / workDone * slotNanos / slots);
+        return (long) (work / completedWork * slotNanos / slots);
     }
 
     @Override
     public long retryAfterNanos(double workAhead, int slots) {
         long drain = drainNanos(workAhead, slots);
         if (drain == 0) {
-            return UNKNOWN_RETRY_NANOS;
+            return DEFAULT_RETRY_AFTER_NANOS;
         }
-        return Math.max(SHORTEST_RETRY_NANOS, Math.min(LONGEST_RETRY_NANOS, drain));
+        return Math.max(MIN_RETRY_AFTER_NANOS, Math.min(MAX_RETRY_AFTER_NANOS, drain));
     }
 
     @Override
-    public long startByNanos(CellRequest ask) {
-        if (ask.resumedTokens() > 0) {
+    public long latestStartNanos(CellRequest request) {
+        if (request.resumedTokens() > 0) {
             return Long.MAX_VALUE;
         }
-        FirstTokenTime time = firstTokens.get(ask.terms().name());
-        double needed = time == null ? 0 : time.usuallyWithin();
-        double most = MOST_OF_TARGET * ask.terms().targetNanos();
-        return ask.dueNanos() - (long) Math.min(needed, most);
+        FirstTokenTime firstTokenTime =
+                firstTokenTimeByClass.get(request.terms().name());
+        double estimate = firstTokenTime == null ? 0 : firstTokenTime.upperBoundNanos();
+        double maxEstimate = MAX_FIRST_TOKEN_FRACTION * request.terms().targetNanos();
+        return request.dueNanos() - (long) Math.min(estimate, maxEstimate);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Who is refused at the door, and when to come back. */
+/** Admission control: estimates queueing delays and rejects requests early that would miss their target. */
 package org.dotterelcourse.policy.admission;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellRequest.java
@@ -3,17 +3,17 @@
 import java.util.Set;
 
 /**
- * One request that wants a worker of the cell.
+ * A request for a worker of the cell.
  *
- * @param id the request's id, unique among those waiting or running in the cell
- * @param terms what its class was promised
- * @param customer the customer's name
- * @param arrivalNanos when a daemon first took the request; a retry keeps it
- * @param inputTokens the estimated length of the prompt
- * @param prefix fingerprint of the prompt's start, 0 for none
- * @param idempotent whether it may run more than once
- * @param resumedTokens how many tokens of the answer the caller has already, 0 for a fresh request
- * @param excludedWorkers workers that failed this request before
+ * @param id id of the request, unique among those that are waiting or running in the cell
+ * @param terms the service-level terms of the request's class
+ * @param customer name of the customer that the request is accounted to
+ * @param arrivalNanos monotonic time in nanoseconds at which a daemon received the request; a retry keeps it
+ * @param inputTokens estimated length of the prompt, in tokens
+ * @param prefix fingerprint of the beginning of the prompt, for prefix affinity; 0 for none
+ * @param idempotent whether the request may be executed more than once
+ * @param resumedTokens number of tokens of the answer that the caller has received already; 0 for a fresh request
+ * @param excludedWorkers names of the workers that have failed this request; it isn't placed there again
  */
 public record CellRequest(
         String id,
@@ -26,9 +26,9 @@
         int resumedTokens,
         Set<String> excludedWorkers) {
     /**
-     * When the first token, or a plain service's whole answer, is due.
+     * The time at which the first token is due, or the whole answer of a plain service.
      *
-     * @return nanoseconds of the clock that {@link #arrivalNanos} was read from
+     * @return monotonic time in nanoseconds, of the clock that {@link #arrivalNanos} was read from
      */
     public long dueNanos() {
         return arrivalNanos + terms.targetNanos();
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
@@ -3,92 +3,93 @@
 import java.util.List;
 
 /**
- * Holds the one queue of a cell and decides who is served next, where, and who is refused.
+ * Schedules the requests of one cell: holds the queue, grants workers to requests, rejects and preempts requests.
  *
- * <p>A scheduler is a state machine: every method takes an event with its time and returns what was decided
- * because of it, in order. It reads no clock and is not safe for use by several threads at once. Times are nanoseconds
- * of one monotonic clock and never fall from call to call.
+ * <p>A scheduler is a deterministic state machine: every method takes an event with its time and returns the resulting
+ * decisions in order. It reads no clock and is not safe for use by several threads at once. Times are nanoseconds of
+ * one monotonic clock and must not decrease from call to call.
  */
 public interface CellScheduler {
     /**
-     * A request arrives. It is granted, refused or waits; another waiting request may be refused in its place.
+     * Submits a request. It is granted, rejected or queued; another queued request may be rejected in its place.
      *
-     * @param ask the request
-     * @param nowNanos the time
-     * @return what was decided
+     * @param request the request
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions
      */
-    List<CellEffect> offer(CellRequest ask, long nowNanos);
+    List<CellEffect> offer(CellRequest request, long nowNanos);
 
     /**
-     * A waiting request is no longer wanted. Unknown ids are passed over.
+     * Removes a request from the queue that its caller no longer wants. Unknown ids are ignored.
      *
-     * @param requestId the request's id
-     * @param nowNanos the time
-     * @return what was decided
+     * @param requestId id of the request
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions
      */
     List<CellEffect> withdraw(String requestId, long nowNanos);
 
     /**
-     * A granted request makes progress.
+     * Records progress of a granted request. Unknown grants are ignored.
      *
-     * @param grant the grant's number
-     * @param outputTokens tokens that have arrived so far
-     * @param nowNanos the time
-     * @return what was decided
+     * @param grant number of the grant
+     * @param outputTokens number of tokens of the answer received so far
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions
      */
     List<CellEffect> progress(long grant, int outputTokens, long nowNanos);
 
     /**
-     * A granted request has ended. Unknown grants are passed over.
+     * Ends a grant, which frees its slot. Unknown grants are ignored.
      *
-     * @param grant the grant's number
-     * @param completion what was seen
-     * @param nowNanos the time
-     * @return what was decided
+     * @param grant number of the grant
+     * @param completion outcome, times and token count of the request
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions
      */
     List<CellEffect> release(long grant, Completion completion, long nowNanos);
 
     /**
-     * A request is running already, by a grant that another scheduler gave before this one took over. It is counted at
-     * its worker even where that puts the worker above its concurrency.
+     * Takes over a running request that was granted by the previous scheduler of the cell. It occupies a slot of its
+     * worker even if the worker then exceeds its concurrency.
      *
-     * @param ask the request
-     * @param worker where it runs; the worker need not be known
-     * @param nowNanos the time
-     * @return the grant's number with this scheduler
+     * @param request the request
+     * @param worker name of the worker that runs it; the worker need not be in the published list
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return number of the grant in this scheduler
      */
-    long adopt(CellRequest ask, String worker, long nowNanos);
+    long adopt(CellRequest request, String worker, long nowNanos);
 
     /**
-     * The published list of the cell's workers has changed.
+     * Replaces the list of the workers of the cell.
      *
-     * @param workers all of them
-     * @param nowNanos the time
-     * @return what was decided
+     * @param workers all workers of the cell, as published
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions
      */
     List<CellEffect> updateWorkers(List<WorkerInfo> workers, long nowNanos);
 
     /**
-     * A worker's load report has arrived.
+     * Records a load report of a worker.
      *
      * @param report the report
-     * @param nowNanos the time
-     * @return what was decided
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions
      */
     List<CellEffect> recordLoadReport(WorkerReport report, long nowNanos);
 
     /**
-     * Time has passed. To be called every few tens of milliseconds.
+     * Makes the decisions that depend on time alone, such as rejecting expired requests. To be called every few tens of
+     * milliseconds.
      *
-     * @param nowNanos the time
-     * @return what was decided
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions
      */
     List<CellEffect> advance(long nowNanos);
 
     /**
-     * How many requests wait.
+     * The number of queued requests.
      *
-     * @return the number
+     * @return the number of requests that are neither granted nor rejected yet
      */
     int waitingCount();
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellSettings.java
@@ -5,28 +5,33 @@
 import java.util.Set;
 
 /**
- * The figures of a cell's policy. {@link #builder()} starts from the defaults; docs/POLICY.md gives their grounds.
+ * Parameters of a cell's scheduler. {@link #builder()} starts from the defaults; docs/POLICY.md gives the reasons for
+ * them.
  *
- * @param maxWaiting how many requests may wait in the shared room of the queue
- * @param guaranteedWaiting how many requests of a class with a minimum share may wait beyond the shared room
- * @param leastShare the minimum share of a class that has none of its own, so that no class starves
- * @param prefillWeight work of a prompt token, in output tokens
- * @param longJobFactor a request is long when it expects so many times the mean output of the cell
- * @param longJobShare the fraction of a worker's room that long requests may hold while others run
- * @param affinitySlack how much worse than the best worker, as a fraction, the one with the prefix may be
- * @param batchSlowdown how much slower, as a fraction, a full batch steps than an empty one
- * @param toleratedSlowFactor a worker that is slower than the cell's median by less than this factor counts as normal
- * @param ejectionFactor a worker that is slower by this factor is ejected
- * @param ejectionFailures failures in a row that eject a worker
- * @param maxEjectedFraction the most of a cell's workers that may be ejected
- * @param probeAfterNanos how long an ejected worker rests before its first probe, in nanoseconds
- * @param maxReportAgeNanos the age from which a load report says nothing, in nanoseconds
- * @param off the mechanisms that are switched off
+ * @param maxWaiting capacity of the part of the queue that all classes share, in requests
+ * @param guaranteedWaiting number of requests that each class with a minimum share may queue in addition to the shared
+ *     capacity
+ * @param defaultMinimumShare minimum share, as a fraction of the cell's work, of a class that has none configured, so
+ *     that no class starves
+ * @param prefillWeight cost of a prompt token, in output tokens
+ * @param longJobFactor a request is long if its expected output exceeds the mean output of the cell by this factor
+ * @param longJobShare fraction of a worker's capacity that long requests may occupy while other requests run
+ * @param affinitySlack how much worse than the best worker, as a fraction, the worker that has the prompt prefix cached
+ *     may be and still be chosen
+ * @param batchSlowdown how much longer, as a fraction, a decoding step takes with a full batch than with an empty one
+ * @param toleratedSlowFactor a worker that is slower than the median of the cell by less than this factor counts as
+ *     normal
+ * @param ejectionFactor a worker that is slower than the median of the cell by this factor is ejected
+ * @param ejectionFailures number of consecutive failures after which a worker is ejected
+ * @param maxEjectedFraction maximum fraction of the cell's workers that may be ejected at the same time
+ * @param probeAfterNanos time in nanoseconds from the ejection of a worker to its first probe
+ * @param maxReportAgeNanos age in nanoseconds from which a load report is ignored
+ * @param disabledMechanisms the mechanisms that are disabled
  */
 public record CellSettings(
         int maxWaiting,
         int guaranteedWaiting,
-        double leastShare,
+        double defaultMinimumShare,
         double prefillWeight,
         double longJobFactor,
         double longJobShare,
@@ -38,32 +43,32 @@
         double maxEjectedFraction,
         long probeAfterNanos,
         long maxReportAgeNanos,
-        Set<Mechanism> off) {
+        Set<Mechanism> disabledMechanisms) {
     /**
-     * Starts from the defaults.
+     * Creates a builder with the default values.
      *
-     * @return a builder
+     * @return the builder
      */
     public static Builder builder() {
         return new Builder();
     }
 
     /**
-     * Whether a mechanism is in use.
+     * Whether a mechanism is enabled.
      *
      * @param mechanism the mechanism
-     * @return whether it is
+     * @return whether the scheduler uses it
      */
     public boolean isEnabled(Mechanism mechanism) {
-        return !off.contains(mechanism);
+        return !disabledMechanisms.contains(mechanism);
     }
 
-    /** Collects the figures of a {@link CellSettings}. */
+    /** Builds {@link CellSettings}. All setters return the builder itself. */
     public static final class Builder {
-        private final Set<Mechanism> off = EnumSet.noneOf(Mechanism.class);
+        private final Set<Mechanism> disabledMechanisms = EnumSet.noneOf(Mechanism.class);
         private int maxWaiting = 2_000;
         private int guaranteedWaiting = 8;
-        private double leastShare = 0.01;
+        private double defaultMinimumShare = 0.01;
         private double prefillWeight = 0.05;
         private double longJobFactor = 4;
         private double longJobShare = 0.5;
@@ -76,10 +81,10 @@
         private Builder() {}
 
         /**
-         * Sets the shared room of the queue.
+         * Sets the capacity of the part of the queue that all classes share.
          *
-         * @param requests how many may wait, at least 1
-         * @return this
+         * @param requests maximum number of queued requests, at least 1
+         * @return this builder
          */
         public Builder maxWaiting(int requests) {
             maxWaiting = requests;
@@ -87,10 +92,10 @@
         }
 
         /**
-         * Sets the guaranteed room of a class with a minimum share.
+         * Sets the queue capacity that is reserved for each class with a minimum share.
          *
-         * @param requests how many may wait beyond the shared room
-         * @return this
+         * @param requests number of requests that may be queued in addition to the shared capacity
+         * @return this builder
          */
         public Builder guaranteedWaiting(int requests) {
             guaranteedWaiting = requests;
@@ -98,21 +103,21 @@
         }
 
         /**
-         * Sets the minimum share of classes that have none of their own.
+         * Sets the minimum share of classes that have none configured.
          *
-         * @param share fraction of the cell's work; with 0 such a class may starve
-         * @return this
+         * @param share fraction of the cell's work, 0 to 1; with 0, such classes may starve
+         * @return this builder
          */
-        public Builder leastShare(double share) {
-            leastShare = share;
+        public Builder defaultMinimumShare(double share) {
+            defaultMinimumShare = share;
             return this;
         }
 
         /**
-         * Sets what prompts cost.
+         * Sets the cost of prompts.
          *
-         * @param weight work of a prompt token, in output tokens
-         * @return this
+         * @param weight cost of a prompt token, in output tokens
+         * @return this builder
          */
         public Builder prefillWeight(double weight) {
             prefillWeight = weight;
@@ -120,11 +125,11 @@
         }
 
         /**
-         * Sets which requests are long and how much of a worker they may hold.
+         * Sets which requests count as long and how much of a worker they may occupy.
          *
-         * @param factor times the mean output of the cell
-         * @param share fraction of a worker's room
-         * @return this
+         * @param factor multiple of the mean output of the cell above which a request is long
+         * @param share fraction of a worker's capacity, 0 to 1
+         * @return this builder
          */
         public Builder longJobs(double factor, double share) {
             longJobFactor = factor;
@@ -133,10 +138,10 @@
         }
 
         /**
-         * Sets when a hot prefix leaves its worker.
+         * Sets when a request is placed elsewhere although a worker has its prompt prefix cached.
          *
-         * @param slack how much worse than the best, as a fraction
-         * @return this
+         * @param slack how much worse than the best worker that worker may be, as a fraction
+         * @return this builder
          */
         public Builder affinitySlack(double slack) {
             affinitySlack = slack;
@@ -144,10 +149,10 @@
         }
 
         /**
-         * Sets how the step of a worker grows with its batch.
+         * Sets how the duration of a decoding step grows with the batch size.
          *
-         * @param slowdown how much slower, as a fraction, a full batch steps than an empty one
-         * @return this
+         * @param slowdown how much longer, as a fraction, a step takes with a full batch than with an empty one
+         * @return this builder
          */
         public Builder batchSlowdown(double slowdown) {
             batchSlowdown = slowdown;
@@ -155,33 +160,33 @@
         }
 
         /**
-         * Sets when a worker is ejected, and for how long before its first probe.
+         * Sets when a worker is ejected and when it is first probed afterwards.
          *
-         * @param factor times slower than the cell's median
-         * @param failures failures in a row
-         * @param restNanos rest in nanoseconds
-         * @return this
+         * @param factor slow-down compared with the median of the cell
+         * @param failures number of consecutive failures
+         * @param probeDelayNanos time in nanoseconds from the ejection to the first probe
+         * @return this builder
          */
-        public Builder ejection(double factor, int failures, long restNanos) {
+        public Builder ejection(double factor, int failures, long probeDelayNanos) {
             ejectionFactor = factor;
             ejectionFailures = failures;
-            probeAfterNanos = restNanos;
+            probeAfterNanos = probeDelayNanos;
             return this;
         }
 
         /**
-         * Switches a mechanism off.
+         * Disables a mechanism.
          *
          * @param mechanism the mechanism
-         * @return this
+         * @return this builder
          */
         public Builder disable(Mechanism mechanism) {
-            off.add(mechanism);
+            disabledMechanisms.add(mechanism);
             return this;
         }
 
         /**
-         * Makes the settings.
+         * Builds the settings.
          *
          * @return the settings
          */
@@ -189,7 +194,7 @@
             return new CellSettings(
                     maxWaiting,
                     guaranteedWaiting,
-                    leastShare,
+                    defaultMinimumShare,
                     prefillWeight,
                     longJobFactor,
                     longJobShare,
@@ -201,7 +206,7 @@
                     1.0 / 3,
                     probeAfterNanos,
                     15_000_000_000L,
-                    Collections.unmodifiableSet(EnumSet.copyOf(off)));
+                    Collections.unmodifiableSet(EnumSet.copyOf(disabledMechanisms)));
         }
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/ClassTerms.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/ClassTerms.java
@@ -1,16 +1,18 @@
 package org.dotterelcourse.policy.cell;
 
 /**
- * What an operator has promised for a request class, as far as decisions need it.
+ * Service-level terms of a request class, as configured by an operator.
  *
- * @param name the class's name
- * @param tier 1 is the highest, 4 the lowest
- * @param minimumShare the fraction of the cell's work that the class gets under any load, 0 to 1
- * @param maxWaiting how many requests of the class may wait in one cell
- * @param lateIsUseless whether an answer after its target is worth nothing to the caller
- * @param targetNanos from arrival to the first token (engine) or to the whole answer (plain service)
- * @param tokenIntervalNanos the target between tokens; 0 for a plain service
- * @param maxOutputTokens the most tokens an answer may have; 1 for a plain service
+ * @param name name of the class
+ * @param tier priority, from {@link #HIGHEST_TIER} to {@link #LOWEST_TIER}
+ * @param minimumShare fraction of the cell's work, 0 to 1, that the class receives under any load; 0 for none of its
+ *     own
+ * @param maxWaiting maximum number of queued requests of the class in one cell
+ * @param lateIsUseless whether an answer after its target has no value for the caller
+ * @param targetNanos target time in nanoseconds from arrival to the first token (engine) or to the whole answer (plain
+ *     service)
+ * @param tokenIntervalNanos target time between tokens in nanoseconds; 0 for a plain service
+ * @param maxOutputTokens maximum number of tokens of an answer; 1 for a plain service
  */
 public record ClassTerms(
         String name,
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/Completion.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/Completion.java
@@ -1,27 +1,28 @@
 package org.dotterelcourse.policy.cell;
 
 /**
- * What was seen of a granted request when it ended.
+ * Outcome and measurements of a granted request.
  *
- * @param end how it ended
- * @param firstTokenNanos from sending to the first token or byte of the answer; -1 if there was none
- * @param durationNanos from sending to the end
- * @param outputTokens tokens of the answer that arrived
+ * @param end how the request ended
+ * @param firstTokenNanos time in nanoseconds from sending the request to the first token or byte of the answer; -1 if
+ *     none arrived
+ * @param durationNanos time in nanoseconds from sending the request to its end
+ * @param outputTokens number of tokens of the answer received
  */
 public record Completion(End end, long firstTokenNanos, long durationNanos, int outputTokens) {
     /** How a granted request ended. */
     public enum End {
-        /** The whole answer arrived. */
+        /** The whole answer was received. */
         ANSWERED,
-        /** The worker refused before it started. */
+        /** The worker rejected the request before executing it. */
         REFUSED,
-        /** The connection could not be made; nothing was sent. */
+        /** The connection could not be established; nothing was sent. */
         UNREACHABLE,
-        /** It failed after something was sent. */
+        /** The request failed after something had been sent. */
         FAILED,
-        /** The worker says that it takes no more work. */
+        /** The worker reported that it is shutting down and accepts no more requests. */
         LEAVING,
-        /** The caller went away, the scheduler preempted it, or the grant was never used. */
+        /** The caller disconnected, the scheduler preempted the request, or the grant was never used. */
         CANCELLED
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/FifoScheduler.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The baseline that every other scheduler is measured against: one first-in-first-out queue, and a random worker among
- * those with room. It knows no tiers, shares or targets.
+ * A baseline to compare other schedulers with: one first-in-first-out queue, and a random worker among those with free
+ * slots. It ignores tiers, minimum shares and targets.
  */
 public final class FifoScheduler implements CellScheduler {
     private static final long RETRY_AFTER_NANOS = 1_000_000_000L;
@@ -18,16 +18,16 @@
     private final int maxWaiting;
     private final RandomGenerator random;
     private final Deque<CellRequest> queue = new ArrayDeque<>();
-    private final Map<Long, String> grants = new HashMap<>();
-    private final Map<String, Integer> running = new HashMap<>();
+    private final Map<Long, String> workerByGrant = new HashMap<>();
+    private final Map<String, Integer> runningByWorker = new HashMap<>();
     private List<WorkerInfo> workers = List.of();
     private long lastGrant;
 
     /**
-     * Makes an empty queue without workers.
+     * Creates a scheduler with an empty queue and no workers.
      *
-     * @param maxWaiting how many requests may wait
-     * @param random picks the worker
+     * @param maxWaiting maximum number of queued requests
+     * @param random source of randomness for the choice of workers
      */
     public FifoScheduler(int maxWaiting, RandomGenerator random) {
         this.maxWaiting = maxWaiting;
@@ -35,17 +35,17 @@
     }
 
     @Override
-    public List<CellEffect> offer(CellRequest ask, long nowNanos) {
+    public List<CellEffect> offer(CellRequest request, long nowNanos) {
         if (queue.size() >= maxWaiting) {
-            return List.of(new CellEffect.Refused(ask.id(), RefusalReason.CELL_FULL, RETRY_AFTER_NANOS));
+            return List.of(new CellEffect.Refused(request.id(), RefusalReason.CELL_FULL, RETRY_AFTER_NANOS));
         }
-        queue.addLast(ask);
+        queue.addLast(request);
         return drain(nowNanos);
     }
 
     @Override
     public List<CellEffect> withdraw(String requestId, long nowNanos) {
-        queue.removeIf(ask -> ask.id().equals(requestId));
+        queue.removeIf(request -> request.id().equals(requestId));
         return List.of();
     }
 
@@ -56,19 +56,19 @@
 
     @Override
     public List<CellEffect> release(long grant, Completion completion, long nowNanos) {
-        String worker = grants.remove(grant);
+        String worker = workerByGrant.remove(grant);
         if (worker == null) {
             return List.of();
         }
-        running.merge(worker, -1, Integer::sum);
+        runningByWorker.merge(worker, -1, Integer::sum);
         return drain(nowNanos);
     }
 
     @Override
-    public long adopt(CellRequest ask, String worker, long nowNanos) {
+    public long adopt(CellRequest request, String worker, long nowNanos) {
         lastGrant++;
-        grants.put(lastGrant, worker);
-        running.merge(worker, 1, Integer::sum);
+        workerByGrant.put(lastGrant, worker);
+        runningByWorker.merge(worker, 1, Integer::sum);
         return lastGrant;
     }
 
@@ -105,16 +105,16 @@
         return effects;
     }
 
-    private CellEffect grant(CellRequest ask, WorkerInfo worker, long nowNanos) {
-        long grant = adopt(ask, worker.name(), nowNanos);
-        return new CellEffect.Granted(ask.id(), grant, worker.name());
+    private CellEffect grant(CellRequest request, WorkerInfo worker, long nowNanos) {
+        long grant = adopt(request, worker.name(), nowNanos);
+        return new CellEffect.Granted(request.id(), grant, worker.name());
     }
 
-    private List<WorkerInfo> freeWorkers(CellRequest ask) {
+    private List<WorkerInfo> freeWorkers(CellRequest request) {
         List<WorkerInfo> free = new ArrayList<>();
         for (WorkerInfo worker : workers) {
-            boolean room = running.getOrDefault(worker.name(), 0) < worker.concurrency();
-            if (room && !worker.leaving() && !ask.excludedWorkers().contains(worker.name())) {
+            boolean hasFreeSlot = runningByWorker.getOrDefault(worker.name(), 0) < worker.concurrency();
+            if (hasFreeSlot && !worker.leaving() && !request.excludedWorkers().contains(worker.name())) {
                 free.add(worker);
             }
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/Mechanism.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/Mechanism.java
@@ -1,29 +1,29 @@
 package org.dotterelcourse.policy.cell;
 
-/** The mechanisms of {@link TieredScheduler} that can be switched off one by one, to measure what each is worth. */
+/** The mechanisms of {@link TieredScheduler} that can be disabled one by one, to measure the effect of each. */
 public enum Mechanism {
-    /** Higher tiers are served and kept before lower ones. */
+    /** Requests of higher tiers are granted first, and shed last. */
     TIERS,
-    /** A class that waits gets its minimum share of the work whatever its tier. */
+    /** A class with waiting requests receives its minimum share of the work, whatever its tier. */
     MINIMUM_SHARE,
-    /** Customers of a class share it by deficit round robin, and the one with most waiting is shed first. */
+    /** The customers of a class share it by deficit round robin; the customer with the longest queue is shed first. */
     CUSTOMER_FAIRNESS,
-    /** What has missed its target steps behind what can still meet it. */
+    /** Requests that have missed their target are served after those that can still meet it. */
     LATE_LAST,
-    /** What can't meet its target, and is useless late, is refused before it costs anything. */
+    /** Requests that cannot meet their target, and are useless when late, are rejected before they use resources. */
     EARLY_REFUSAL,
-    /** Lengths of answers are learned from those seen. */
+    /** Answer lengths are estimated from those observed. */
     LEARNED_ESTIMATES,
-    /** Long jobs may hold only a part of a worker. */
+    /** Long jobs may occupy only a part of each worker. */
     LONG_JOB_CAP,
-    /** Requests with the same prompt prefix go to the same worker while it isn't too busy. */
+    /** Requests with the same prompt prefix go to the same worker unless it is too busy. */
     PREFIX_AFFINITY,
-    /** A worker that is slower than the cell gets less work. */
+    /** A worker that is slower than the rest of the cell gets less work. */
     STRAGGLER_WEIGHT,
-    /** A worker that fails or crawls gets no work but probes. */
+    /** A worker that fails or is extremely slow gets no work except probes. */
     EJECTION,
-    /** Load reports take away room that others use. */
+    /** The free capacity of a worker is reduced by the load that others put on it, according to its load reports. */
     LOAD_REPORTS,
-    /** A running lower-tier request makes way for a higher-tier one that would miss its target. */
+    /** A running request of a lower tier is stopped for one of a higher tier that would miss its target. */
     PREEMPTION
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/RefusalReason.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/RefusalReason.java
@@ -1,13 +1,13 @@
 package org.dotterelcourse.policy.cell;
 
-/** Why a request was refused. */
+/** Why a request was rejected. */
 public enum RefusalReason {
-    /** The class has as many requests waiting as it may. */
+    /** The class has reached its maximum number of queued requests. */
     CLASS_FULL,
-    /** The cell's queue is full, and every other waiting request has a higher or equal tier. */
+    /** The queue of the cell is full, and every other queued request has the same or a higher tier. */
     CELL_FULL,
-    /** The target can't be met any more, and the class says that late is useless. */
+    /** The target can no longer be met, and late answers are useless to the class. */
     TOO_LATE,
-    /** No worker serves it. */
+    /** No worker can serve the request. */
     NO_WORKER
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -19,77 +19,82 @@
 import org.dotterelcourse.policy.placement.Running;
 import org.dotterelcourse.policy.preemption.Preemption;
 import org.dotterelcourse.policy.preemption.ResumablePreemption;
+import org.dotterelcourse.policy.queue.QueuedRequest;
+import org.dotterelcourse.policy.queue.RequestQueue;
 import org.dotterelcourse.policy.queue.TieredQueue;
-import org.dotterelcourse.policy.queue.Waiting;
-import org.dotterelcourse.policy.queue.WaitingQueue;
 
 /**
- * The scheduler of a cell: puts together order of service, admission, estimates, placement and preemption, each behind an
- * interface of its own. It has no policy itself but the order in which they are asked.
+ * Schedules a cell by priority tiers with minimum shares. It combines queue order, admission, output estimates,
+ * placement and preemption, each behind an interface of its own, and itself decides only the sequence in which these
+ * are applied.
  */
 public final class TieredScheduler implements CellScheduler {
     /**
-     * In this time a request to preempt is looked for at most once: a wrong forecast can't empty a cell, and a search, which
-     * looks at all that run, isn't paid for by each decision.
+     * Minimum time between searches for a request to preempt. It prevents a wrong estimate from preempting all running
+     * requests of a cell, and saves most decisions the cost of the search, which visits all running requests.
      */
     private static final long PREEMPTION_INTERVAL_NANOS = 20_000_000L;
 
-    /** With less of its target left than this fraction, a request is taken to miss it whatever is forecast. */
-    private static final double LEAST_TARGET_LEFT = 0.25;
+    /**
+     * With less than this fraction of its target left, a request is expected to miss it, whatever the estimates say.
+     */
+    private static final double MIN_TARGET_FRACTION_LEFT = 0.25;
 
     private final CellSettings settings;
-    private final WaitingQueue queue;
+    private final RequestQueue queue;
     private final OutputEstimator estimator;
     private final Admission admission;
     private final Placement placement;
     private final Preemption preemption;
     private final Map<Long, Running> running = new HashMap<>();
-    private final Map<Long, Double> charges = new HashMap<>();
-    private final Set<String> runningIds = new HashSet<>();
+    private final Map<Long, Double> chargedWork = new HashMap<>();
+    private final Set<String> runningRequestIds = new HashSet<>();
     private long lastGrant;
     private long lastSequence;
-    private boolean noRoomForLong;
-    private long searchedNanos = Long.MIN_VALUE / 2;
+    private boolean areLongJobsBlocked;
+    private long lastPreemptionSearchNanos = Long.MIN_VALUE / 2;
 
     private TieredScheduler(Builder builder) {
         settings = builder.settings;
         queue = new TieredQueue(settings);
-        estimator =
-                settings.isEnabled(Mechanism.LEARNED_ESTIMATES) ? new LearnedOutputEstimator() : new FixedOutputEstimator();
+        estimator = settings.isEnabled(Mechanism.LEARNED_ESTIMATES)
+                ? new LearnedOutputEstimator()
+                : new FixedOutputEstimator();
         admission = new DrainRateAdmission();
         placement = new CellPlacement(settings);
         preemption = new ResumablePreemption(settings, estimator, placement);
     }
 
     /**
-     * Starts from default settings.
+     * Creates a builder with default settings.
      *
-     * @return a builder
+     * @return the builder
      */
     public static Builder builder() {
         return new Builder();
     }
 
     @Override
-    public List<CellEffect> offer(CellRequest ask, long nowNanos) {
-        if (queue.contains(ask.id()) || runningIds.contains(ask.id())) {
+    public List<CellEffect> offer(CellRequest request, long nowNanos) {
+        if (queue.contains(request.id()) || runningRequestIds.contains(request.id())) {
             return List.of();
         }
-        Waiting waiting = waiting(ask);
-        double ahead = queue.workAhead(waiting);
-        if (!placement.canServe(ask)) {
-            return List.of(refusal(ask, RefusalReason.NO_WORKER, ahead));
+        QueuedRequest queued = queuedRequest(request);
+        double workAhead = queue.workAhead(queued);
+        if (!placement.canServe(request)) {
+            return List.of(refusal(request, RefusalReason.NO_WORKER, workAhead));
         }
-        if (isTooLate(ask, ahead, nowNanos)) {
-            return List.of(refusal(ask, RefusalReason.TOO_LATE, ahead));
+        if (isTooLate(request, workAhead, nowNanos)) {
+            return List.of(refusal(request, RefusalReason.TOO_LATE, workAhead));
         }
-        queue.add(waiting);
+        queue.add(queued);
         List<CellEffect> effects = new ArrayList<>();
-        serve(effects, nowNanos);
-        Optional<Waiting> overClass = queue.shedFromClass(ask.terms().name(), nowNanos);
-        overClass.ifPresent(shed -> effects.add(refuse(shed, RefusalReason.CLASS_FULL)));
-        Optional<Waiting> overCell = queue.shed(nowNanos);
-        overCell.ifPresent(shed -> effects.add(refuse(shed, RefusalReason.CELL_FULL)));
+        grantQueued(effects, nowNanos);
+        Optional<QueuedRequest> classOverflow =
+                queue.shedFromClass(request.terms().name(), nowNanos);
+        classOverflow.ifPresent(shed -> effects.add(refuse(shed, RefusalReason.CLASS_FULL)));
+        Optional<QueuedRequest> cellOverflow = queue.shed(nowNanos);
+        cellOverflow.ifPresent(shed -> effects.add(refuse(shed, RefusalReason.CELL_FULL)));
         preempt(effects, nowNanos);
         return effects;
     }
@@ -102,31 +107,31 @@
 
     @Override
     public List<CellEffect> progress(long grant, int outputTokens, long nowNanos) {
-        Running found = running.get(grant);
-        if (found == null) {
+        Running granted = running.get(grant);
+        if (granted == null) {
             return List.of();
         }
         boolean becomesLong = isLong(outputTokens);
-        placement.progress(found, outputTokens, becomesLong, nowNanos);
+        placement.progress(granted, outputTokens, becomesLong, nowNanos);
         return List.of();
     }
 
     @Override
     public List<CellEffect> release(long grant, Completion completion, long nowNanos) {
-        Running found = running.get(grant);
-        if (found == null) {
+        Running granted = running.get(grant);
+        if (granted == null) {
             return List.of();
         }
-        end(found, completion, nowNanos);
-        return serve(nowNanos);
+        end(granted, completion, nowNanos);
+        return grantQueued(nowNanos);
     }
 
     @Override
-    public long adopt(CellRequest ask, String worker, long nowNanos) {
-        queue.remove(ask.id());
-        grant(waiting(ask), worker, false, nowNanos);
-        // The class was charged by the scheduler that gave the grant; here it pays at the end for what was done.
-        charges.put(lastGrant, 0.0);
+    public long adopt(CellRequest request, String worker, long nowNanos) {
+        queue.remove(request.id());
+        grant(queuedRequest(request), worker, false, nowNanos);
+        // The previous scheduler has charged the class; this one charges only the actual work when the request ends.
+        chargedWork.put(lastGrant, 0.0);
         return lastGrant;
     }
 
@@ -134,26 +139,26 @@
     public List<CellEffect> updateWorkers(List<WorkerInfo> published, long nowNanos) {
         placement.workers(published, nowNanos);
         List<CellEffect> effects = new ArrayList<>();
-        for (Waiting waiting : queue.all()) {
-            if (!waiting.ask().excludedWorkers().isEmpty() && !placement.canServe(waiting.ask())) {
-                queue.remove(waiting.ask().id());
-                effects.add(refuse(waiting, RefusalReason.NO_WORKER));
+        for (QueuedRequest queued : queue.all()) {
+            if (!queued.request().excludedWorkers().isEmpty() && !placement.canServe(queued.request())) {
+                queue.remove(queued.request().id());
+                effects.add(refuse(queued, RefusalReason.NO_WORKER));
             }
         }
-        serve(effects, nowNanos);
+        grantQueued(effects, nowNanos);
         return effects;
     }
 
     @Override
     public List<CellEffect> recordLoadReport(WorkerReport report, long nowNanos) {
         placement.report(report, nowNanos);
-        return serve(nowNanos);
+        return grantQueued(nowNanos);
     }
 
     @Override
     public List<CellEffect> advance(long nowNanos) {
         placement.advance(nowNanos);
-        List<CellEffect> effects = serve(nowNanos);
+        List<CellEffect> effects = grantQueued(nowNanos);
         preempt(effects, nowNanos);
         return effects;
     }
@@ -163,40 +168,41 @@
         return queue.size();
     }
 
-    private List<CellEffect> serve(long nowNanos) {
+    private List<CellEffect> grantQueued(long nowNanos) {
         List<CellEffect> effects = new ArrayList<>();
-        serve(effects, nowNanos);
+        grantQueued(effects, nowNanos);
         return effects;
     }
 
-    private void serve(List<CellEffect> effects, long nowNanos) {
+    private void grantQueued(List<CellEffect> effects, long nowNanos) {
         refuseExpired(effects, nowNanos);
         while (queue.size() > 0 && placement.hasRoom(nowNanos)) {
-            noRoomForLong = false;
-            Optional<WaitingQueue.Taken<String>> taken = queue.next(waiting -> place(waiting, nowNanos), nowNanos);
-            if (taken.isEmpty()) {
+            areLongJobsBlocked = false;
+            Optional<RequestQueue.Dequeued<String>> dequeued = queue.poll(queued -> place(queued, nowNanos), nowNanos);
+            if (dequeued.isEmpty()) {
                 return;
             }
-            WaitingQueue.Taken<String> next = taken.get();
-            effects.add(grant(next.waiting(), next.place(), next.owed(), nowNanos));
+            RequestQueue.Dequeued<String> next = dequeued.get();
+            effects.add(grant(next.queued(), next.place(), next.owed(), nowNanos));
         }
     }
 
     /**
-     * Finds a place. When a long request that any worker would take finds none, no other long one does until something is
-     * granted; they are passed over without a search, since a queue of long jobs has many heads.
+     * Chooses a worker. Once a long request that any worker may serve has found no free worker, all further long
+     * requests are skipped without a search until the next grant, because a queue of long jobs can have many customers
+     * to try.
      */
-    private Optional<String> place(Waiting waiting, long nowNanos) {
-        Candidate candidate = candidate(waiting);
-        if (candidate.isLong() && noRoomForLong) {
+    private Optional<String> place(QueuedRequest queued, long nowNanos) {
+        Candidate candidate = candidate(queued);
+        if (candidate.isLong() && areLongJobsBlocked) {
             return Optional.empty();
         }
         Optional<String> worker = placement.place(candidate, nowNanos);
-        CellRequest ask = waiting.ask();
-        boolean anyWorkerWouldDo = ask.excludedWorkers().isEmpty()
-                && ask.idempotent()
-                && ask.terms().tier() > ClassTerms.HIGHEST_TIER;
-        noRoomForLong |= candidate.isLong() && worker.isEmpty() && anyWorkerWouldDo;
+        CellRequest request = queued.request();
+        boolean canRunOnAnyWorker = request.excludedWorkers().isEmpty()
+                && request.idempotent()
+                && request.terms().tier() > ClassTerms.HIGHEST_TIER;
+        areLongJobsBlocked |= candidate.isLong() && worker.isEmpty() && canRunOnAnyWorker;
         return worker;
     }
 
@@ -204,24 +210,24 @@
         if (!settings.isEnabled(Mechanism.EARLY_REFUSAL)) {
             return;
         }
-        Optional<Waiting> expired = queue.expired(nowNanos);
+        Optional<QueuedRequest> expired = queue.removeExpired(nowNanos);
         while (expired.isPresent()) {
             effects.add(refuse(expired.get(), RefusalReason.TOO_LATE));
-            expired = queue.expired(nowNanos);
+            expired = queue.removeExpired(nowNanos);
         }
     }
 
     private void preempt(List<CellEffect> effects, long nowNanos) {
-        boolean tooSoon = nowNanos - searchedNanos < PREEMPTION_INTERVAL_NANOS;
-        if (tooSoon || !settings.isEnabled(Mechanism.PREEMPTION) || queue.size() == 0) {
+        boolean isTooSoon = nowNanos - lastPreemptionSearchNanos < PREEMPTION_INTERVAL_NANOS;
+        if (isTooSoon || !settings.isEnabled(Mechanism.PREEMPTION) || queue.size() == 0) {
             return;
         }
-        Waiting urgent = queue.mostUrgent(nowNanos).orElseThrow();
-        if (!wouldMiss(urgent, nowNanos)) {
+        QueuedRequest urgent = queue.mostUrgent(nowNanos).orElseThrow();
+        if (!wouldMissTarget(urgent, nowNanos)) {
             return;
         }
-        searchedNanos = nowNanos;
-        Optional<Running> victim = preemption.victim(urgent.ask(), running.values());
+        lastPreemptionSearchNanos = nowNanos;
+        Optional<Running> victim = preemption.selectVictim(urgent.request(), running.values());
         if (victim.isEmpty()) {
             return;
         }
@@ -229,83 +235,94 @@
         effects.add(new CellEffect.Preempted(stopped.ask().id(), stopped.grant()));
         int tokens = stopped.tokens() - stopped.ask().resumedTokens();
         end(stopped, new Completion(Completion.End.CANCELLED, -1, nowNanos - stopped.sinceNanos(), tokens), nowNanos);
-        queue.take(urgent.ask().id());
+        queue.pollById(urgent.request().id());
         effects.add(grant(urgent, stopped.worker(), false, nowNanos));
     }
 
-    /** Whether waiting for a slot would take a request past its target: by its own place, or by the length of its tier. */
-    private boolean wouldMiss(Waiting urgent, long nowNanos) {
-        CellRequest ask = urgent.ask();
+    /**
+     * Whether a request would miss its target if it waited for the next free slot, or, for a class whose late answers
+     * are useless, whether the work queued before a new request of its class takes longer than the target allows.
+     */
+    private boolean wouldMissTarget(QueuedRequest urgent, long nowNanos) {
+        CellRequest request = urgent.request();
         if (urgent.isLate(nowNanos)) {
             return false;
         }
         long nextSlotNanos = admission.drainNanos(urgent.work(), placement.slots());
-        long leastLeft = (long) (LEAST_TARGET_LEFT * ask.terms().targetNanos());
-        boolean headMisses = nowNanos + Math.max(leastLeft, nextSlotNanos) > urgent.startByNanos();
-        long tierNanos = admission.drainNanos(queue.workAhead(urgent), placement.slots());
-        long patienceNanos = urgent.startByNanos() - ask.arrivalNanos();
-        boolean tierMisses = ask.terms().lateIsUseless() && tierNanos > patienceNanos;
+        long minimumLeftNanos =
+                (long) (MIN_TARGET_FRACTION_LEFT * request.terms().targetNanos());
+        boolean headMisses = nowNanos + Math.max(minimumLeftNanos, nextSlotNanos) > urgent.latestStartNanos();
+        long drainNanos = admission.drainNanos(queue.workAhead(urgent), placement.slots());
+        long allowedWaitNanos = urgent.latestStartNanos() - request.arrivalNanos();
+        boolean tierMisses = request.terms().lateIsUseless() && drainNanos > allowedWaitNanos;
         return headMisses || tierMisses;
     }
 
-    private boolean isTooLate(CellRequest ask, double workAhead, long nowNanos) {
-        if (!settings.isEnabled(Mechanism.EARLY_REFUSAL) || !ask.terms().lateIsUseless() || ask.resumedTokens() > 0) {
+    private boolean isTooLate(CellRequest request, double workAhead, long nowNanos) {
+        if (!settings.isEnabled(Mechanism.EARLY_REFUSAL)
+                || !request.terms().lateIsUseless()
+                || request.resumedTokens() > 0) {
             return false;
         }
-        boolean isPast = admission.startByNanos(ask) <= nowNanos;
+        boolean isLate = admission.latestStartNanos(request) <= nowNanos;
         boolean hasRoom = queue.size() == 0 && placement.hasRoom(nowNanos);
-        return isPast || !hasRoom && admission.tooLate(ask, workAhead, placement.slots(), nowNanos);
+        return isLate || !hasRoom && admission.isTooLate(request, workAhead, placement.slots(), nowNanos);
     }
 
-    private CellEffect grant(Waiting waiting, String worker, boolean owed, long nowNanos) {
+    private CellEffect grant(QueuedRequest queued, String worker, boolean owed, long nowNanos) {
         lastGrant++;
-        Running granted = new Running(lastGrant, candidate(waiting), worker, owed, nowNanos);
+        Running granted = new Running(lastGrant, candidate(queued), worker, owed, nowNanos);
         running.put(lastGrant, granted);
-        charges.put(lastGrant, waiting.work());
-        runningIds.add(waiting.ask().id());
+        chargedWork.put(lastGrant, queued.work());
+        runningRequestIds.add(queued.request().id());
         placement.granted(granted, nowNanos);
-        return new CellEffect.Granted(waiting.ask().id(), lastGrant, worker);
+        return new CellEffect.Granted(queued.request().id(), lastGrant, worker);
     }
 
     private void end(Running ended, Completion completion, long nowNanos) {
         running.remove(ended.grant());
-        runningIds.remove(ended.ask().id());
-        double charged = charges.remove(ended.grant());
+        runningRequestIds.remove(ended.ask().id());
+        double charged = chargedWork.remove(ended.grant());
         placement.released(ended, completion, nowNanos);
-        CellRequest ask = ended.ask();
+        CellRequest request = ended.ask();
         boolean isAnswered = completion.end() == Completion.End.ANSWERED;
-        // A plain service's answer has no tokens to count, and is one unit of work.
+        // The answer of a plain service has no tokens, and counts as one unit of work.
         int tokens = isAnswered ? Math.max(1, completion.outputTokens()) : completion.outputTokens();
         double actual = tokens > 0 ? ended.candidate().prefillWork() + tokens : 0;
-        queue.settle(ask.terms().name(), ask.customer(), charged, actual);
+        queue.correctCharge(request.terms().name(), request.customer(), charged, actual);
         if (isAnswered) {
-            estimator.observe(ask.terms(), ask.customer(), ask.resumedTokens() + tokens);
-            admission.observe(ask, actual, completion, nowNanos);
+            estimator.observe(request.terms(), request.customer(), request.resumedTokens() + tokens);
+            admission.observe(request, actual, completion, nowNanos);
         }
     }
 
-    private CellEffect refuse(Waiting waiting, RefusalReason reason) {
-        return refusal(waiting.ask(), reason, queue.workAhead(waiting));
+    private CellEffect refuse(QueuedRequest queued, RefusalReason reason) {
+        return refusal(queued.request(), reason, queue.workAhead(queued));
     }
 
-    private CellEffect refusal(CellRequest ask, RefusalReason reason, double workAhead) {
-        return new CellEffect.Refused(ask.id(), reason, admission.retryAfterNanos(workAhead, placement.slots()));
+    private CellEffect refusal(CellRequest request, RefusalReason reason, double workAhead) {
+        return new CellEffect.Refused(request.id(), reason, admission.retryAfterNanos(workAhead, placement.slots()));
     }
 
-    private Waiting waiting(CellRequest ask) {
+    private QueuedRequest queuedRequest(CellRequest request) {
         lastSequence++;
-        double output = estimator.remaining(ask.terms(), ask.customer(), ask.resumedTokens());
-        return new Waiting(ask, prefillWork(ask) + output, output, admission.startByNanos(ask), lastSequence);
+        double expectedOutput = estimator.remaining(request.terms(), request.customer(), request.resumedTokens());
+        return new QueuedRequest(
+                request,
+                prefillWork(request) + expectedOutput,
+                expectedOutput,
+                admission.latestStartNanos(request),
+                lastSequence);
     }
 
-    private Candidate candidate(Waiting waiting) {
-        CellRequest ask = waiting.ask();
-        double whole = ask.resumedTokens() + waiting.expectedOutput();
-        return new Candidate(ask, prefillWork(ask), waiting.expectedOutput(), isLong(whole));
+    private Candidate candidate(QueuedRequest queued) {
+        CellRequest request = queued.request();
+        double totalOutput = request.resumedTokens() + queued.expectedOutput();
+        return new Candidate(request, prefillWork(request), queued.expectedOutput(), isLong(totalOutput));
     }
 
-    private double prefillWork(CellRequest ask) {
-        return settings.prefillWeight() * (ask.inputTokens() + ask.resumedTokens());
+    private double prefillWork(CellRequest request) {
+        return settings.prefillWeight() * (request.inputTokens() + request.resumedTokens());
     }
 
     private boolean isLong(double tokens) {
@@ -313,17 +330,17 @@
         return mean > 0 && tokens > settings.longJobFactor() * mean;
     }
 
-    /** Puts a {@link TieredScheduler} together. */
+    /** Builds a {@link TieredScheduler}. */
     public static final class Builder {
         private CellSettings settings = CellSettings.builder().build();
 
         private Builder() {}
 
         /**
-         * Sets the cell's figures.
+         * Sets the parameters of the cell.
          *
-         * @param cellSettings the figures
-         * @return this
+         * @param cellSettings the parameters
+         * @return this builder
          */
         public Builder settings(CellSettings cellSettings) {
             settings = cellSettings;
@@ -331,7 +348,7 @@
         }
 
         /**
-         * Makes a scheduler with nothing waiting and no workers.
+         * Builds a scheduler with an empty queue and no workers.
          *
          * @return the scheduler
          */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/WorkerReport.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/WorkerReport.java
@@ -1,11 +1,11 @@
 package org.dotterelcourse.policy.cell;
 
 /**
- * A worker's own word about its load. It lags behind the truth and may be missing.
+ * A load report of a worker. Reports arrive with a delay and may be lost.
  *
- * @param worker the worker's name
- * @param measuredNanos when it was true
- * @param running requests in its batch
- * @param waiting requests that wait at the worker
+ * @param worker name of the worker
+ * @param measuredNanos monotonic time in nanoseconds at which the load was measured
+ * @param running number of requests in its current batch
+ * @param waiting number of requests queued at the worker
  */
 public record WorkerReport(String worker, long measuredNanos, int running, int waiting) {}
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/package-info.java
@@ -1,2 +1,6 @@
-/** The scheduler of a cell: which waiting request goes to which worker next, and which is refused. */
+/**
+ * Scheduling of a cell: a group of workers with one shared request queue. {@link
+ * org.dotterelcourse.policy.cell.CellScheduler} decides which request is granted which worker, and which requests are
+ * rejected or preempted.
+ */
 package org.dotterelcourse.policy.cell;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/DecayingHistogram.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/DecayingHistogram.java
@@ -1,20 +1,24 @@
 package org.dotterelcourse.policy.estimate;
 
 /**
- * Lengths in buckets of a quarter octave, where older ones count less. HdrHistogram neither forgets nor gives a mean of
- * what lies above a value without a walk over thousands of buckets, and both are needed on the way of each decision.
+ * A histogram of lengths with exponential decay per value, in buckets of a quarter octave. HdrHistogram supports no
+ * decay, and needs a pass over thousands of buckets for the mean of the values above a bound; both are needed for each
+ * scheduling decision.
  *
- * <p>A bucket's width bounds the error of a length to a tenth. Forgetting is forward decay: a new value weighs more than
- * the last by a constant factor, and all weights are scaled down when they get large.
+ * <p>The bucket width limits the error of a length to a tenth. Decay is implemented as forward decay: each value weighs
+ * more than the previous one by a constant factor, and all weights are scaled down when they get large.
  */
 final class DecayingHistogram {
     private static final int BUCKETS_PER_OCTAVE = 4;
     private static final int BUCKETS = 20 * BUCKETS_PER_OCTAVE;
 
-    /** A value's weight falls to a half after about 350 later ones: an hour's change of habit is learned in minutes. */
-    private static final double GROWTH = 1.002;
+    /**
+     * Weight of a value relative to the previous one. The relative weight of a value halves after about 350 further
+     * values, so that a change that lasts an hour is learned within minutes.
+     */
+    private static final double WEIGHT_GROWTH = 1.002;
 
-    private static final double LARGEST_WEIGHT = 1e12;
+    private static final double MAX_WEIGHT = 1e12;
 
     private final double[] weights = new double[BUCKETS];
     private final double[] sums = new double[BUCKETS];
@@ -28,13 +32,13 @@
         sums[bucket] += nextWeight * value;
         totalWeight += nextWeight;
         totalSum += nextWeight * value;
-        nextWeight *= GROWTH;
-        if (nextWeight > LARGEST_WEIGHT) {
+        nextWeight *= WEIGHT_GROWTH;
+        if (nextWeight > MAX_WEIGHT) {
             scale(1 / nextWeight);
         }
     }
 
-    /** How many values like the newest the histogram is worth. */
+    /** Total weight of all values, relative to that of the newest value. */
     double count() {
         return totalWeight / nextWeight;
     }
@@ -43,8 +47,8 @@
         return totalWeight == 0 ? 0 : totalSum / totalWeight;
     }
 
-    /** The mean of what values above the given one have beyond it; 0 if there are none. */
-    double meanBeyond(double value) {
+    /** Mean excess over the given value, of the values in higher buckets; 0 if there are none. */
+    double meanExcess(double value) {
         if (value <= 0) {
             return mean();
         }
@@ -57,8 +61,8 @@
         return weight == 0 ? 0 : sum / weight - value;
     }
 
-    /** How many values above the given one the histogram is worth. */
-    double countBeyond(double value) {
+    /** Total weight of the values in higher buckets than the given value, relative to that of the newest value. */
+    double countAbove(double value) {
         if (value <= 0) {
             return count();
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/FixedOutputEstimator.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/FixedOutputEstimator.java
@@ -2,22 +2,22 @@
 
 import org.dotterelcourse.policy.cell.ClassTerms;
 
-/** Takes every answer for the same length; for measuring what learning is worth. */
+/** Estimates the same length for every answer; a baseline to measure the benefit of learned estimates. */
 public final class FixedOutputEstimator implements OutputEstimator {
-    private static final double TOKENS = 256;
+    private static final double ASSUMED_TOKENS = 256;
 
     @Override
-    public double remaining(ClassTerms terms, String customer, int soFar) {
-        return Math.min(TOKENS, terms.maxOutputTokens());
+    public double remaining(ClassTerms terms, String customer, int generatedTokens) {
+        return Math.min(ASSUMED_TOKENS, terms.maxOutputTokens());
     }
 
     @Override
     public double meanOutput() {
-        return TOKENS;
+        return ASSUMED_TOKENS;
     }
 
     @Override
     public void observe(ClassTerms terms, String customer, int tokens) {
-        // Nothing is learned.
+        // The estimate is fixed.
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/LearnedOutputEstimator.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/LearnedOutputEstimator.java
@@ -6,21 +6,22 @@
 import org.dotterelcourse.policy.cell.ClassTerms;
 
 /**
- * Learns lengths from decaying histograms per class and per customer of a class.
+ * Learns answer lengths from decaying histograms, one per class and one per customer of a class.
  *
- * <p>Answers the load pattern of long jobs among short ones. Without it a prospectus summary costs its customer as much
- * of a share as a coupon date, a worker full of summaries looks as free as one full of short answers, and nobody can
- * tell which jobs are long.
+ * <p>Answers a load that mixes long jobs with short ones. Without it, a long summary is charged to its customer like a
+ * short lookup, a worker full of summaries seems to have as much free capacity as one full of short answers, and long
+ * jobs can't be told from short ones.
  *
- * <p>Few values are blended with what is known of the wider group, as if {@value #PRIOR_COUNT} values had been seen
- * there: customer with class, class with a cold-start guess. The guess is a quarter of the class's longest answer:
- * classes are set up with room to spare, and a guess too high only makes the first few requests look heavy.
+ * <p>The estimate for a customer is blended with that for its class, and that for a class with an initial estimate. The
+ * wider estimate weighs as much as {@value #PRIOR_SAMPLES} samples, so that it prevails as long as there are few. The
+ * initial estimate is a quarter of the class's maximum answer length, because maxima are usually configured generously;
+ * if it is too high, only the first few requests are overestimated.
  */
 public final class LearnedOutputEstimator implements OutputEstimator {
-    private static final double PRIOR_COUNT = 8;
-    private static final double COLD_START_FRACTION = 0.25;
+    private static final double PRIOR_SAMPLES = 8;
+    private static final double INITIAL_FRACTION = 0.25;
 
-    /** Histograms kept, the most recently used: 1.3 kB each. */
+    /** Maximum number of histograms per map, of 1.3 kB each; the least recently used are evicted. */
     private static final int MAX_HISTOGRAMS = 4_096;
 
     private record Key(String className, String customer) {}
@@ -39,35 +40,35 @@
         }
     };
 
-    private final DecayingHistogram all = new DecayingHistogram();
+    private final DecayingHistogram allClasses = new DecayingHistogram();
 
     @Override
-    public double remaining(ClassTerms terms, String customer, int soFar) {
-        double guess = Math.max(1, COLD_START_FRACTION * Math.max(0, terms.maxOutputTokens() - soFar));
-        double ofClass = blend(classes.get(terms.name()), soFar, guess);
-        double ofCustomer = blend(customers.get(new Key(terms.name(), customer)), soFar, ofClass);
-        return Math.max(1, ofCustomer);
+    public double remaining(ClassTerms terms, String customer, int generatedTokens) {
+        double initial = Math.max(1, INITIAL_FRACTION * Math.max(0, terms.maxOutputTokens() - generatedTokens));
+        double classEstimate = blend(classes.get(terms.name()), generatedTokens, initial);
+        double customerEstimate = blend(customers.get(new Key(terms.name(), customer)), generatedTokens, classEstimate);
+        return Math.max(1, customerEstimate);
     }
 
     @Override
     public double meanOutput() {
-        return all.mean();
+        return allClasses.mean();
     }
 
     @Override
     public void observe(ClassTerms terms, String customer, int tokens) {
-        all.add(tokens);
+        allClasses.add(tokens);
         classes.computeIfAbsent(terms.name(), name -> new DecayingHistogram()).add(tokens);
         customers
                 .computeIfAbsent(new Key(terms.name(), customer), key -> new DecayingHistogram())
                 .add(tokens);
     }
 
-    private static double blend(DecayingHistogram seen, int soFar, double wider) {
-        if (seen == null) {
-            return wider;
+    private static double blend(DecayingHistogram histogram, int generatedTokens, double prior) {
+        if (histogram == null) {
+            return prior;
         }
-        double count = seen.countBeyond(soFar);
-        return (count * seen.meanBeyond(soFar) + PRIOR_COUNT * wider) / (count + PRIOR_COUNT);
+        double samples = histogram.countAbove(generatedTokens);
+        return (samples * histogram.meanExcess(generatedTokens) + PRIOR_SAMPLES * prior) / (samples + PRIOR_SAMPLES);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/OutputEstimator.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/OutputEstimator.java
@@ -2,31 +2,31 @@
 
 import org.dotterelcourse.policy.cell.ClassTerms;
 
-/** Estimates how long answers get. Not safe for use by several threads at once. */
+/** Estimates the lengths of answers. Not safe for use by several threads at once. */
 public interface OutputEstimator {
     /**
-     * The expected rest of an answer.
+     * The expected remaining length of an answer.
      *
-     * @param terms the class's terms
-     * @param customer the customer's name
-     * @param soFar tokens it has already
-     * @return the mean number of tokens to come, at least 1
+     * @param terms terms of the request's class
+     * @param customer name of the customer
+     * @param generatedTokens number of tokens generated so far
+     * @return expected number of further tokens, at least 1
      */
-    double remaining(ClassTerms terms, String customer, int soFar);
+    double remaining(ClassTerms terms, String customer, int generatedTokens);
 
     /**
-     * The mean length of all answers, whatever their class.
+     * The mean length of the answers of all classes.
      *
-     * @return tokens; 0 while none has been seen
+     * @return number of tokens; 0 if no answer has been observed yet
      */
     double meanOutput();
 
     /**
-     * Learns from a whole answer.
+     * Records the length of a complete answer.
      *
-     * @param terms the class's terms
-     * @param customer the customer's name
-     * @param tokens its length in tokens
+     * @param terms terms of the request's class
+     * @param customer name of the customer
+     * @param tokens length of the answer in tokens
      */
     void observe(ClassTerms terms, String customer, int tokens);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/estimate/package-info.java
@@ -1,2 +1,2 @@
-/** How much work a request will be, when nobody knows in advance how long its answer will get. */
+/** Estimates the cost of requests, whose answer lengths are not known in advance. */
 package org.dotterelcourse.policy.estimate;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/package-info.java
@@ -1,2 +1,5 @@
-/** Decisions under load. Nothing here reads a clock, opens a connection or starts a thread. */
+/**
+ * Load-management policies: scheduling, admission, retries, placement and preemption. The classes are pure state
+ * machines: none of them reads a clock, opens a connection or starts a thread.
+ */
 package org.dotterelcourse.policy;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/Preemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/Preemption.java
@@ -6,14 +6,14 @@
 import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.placement.Running;
 
-/** Chooses a running request to stop for a waiting one. */
+/** Chooses a running request to preempt for a queued one. */
 public interface Preemption {
     /**
-     * Chooses a victim.
+     * Chooses the request to preempt.
      *
-     * @param urgent the waiting request that would miss its target
-     * @param running all running requests
-     * @return the one that makes way, or empty if none may or none is worth it
+     * @param urgent the queued request that would miss its target
+     * @param running all running requests of the cell
+     * @return the request to preempt, or empty if none may be preempted or the cost would exceed the gain
      */
-    Optional<Running> victim(CellRequest urgent, Collection<Running> running);
+    Optional<Running> selectVictim(CellRequest urgent, Collection<Running> running);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
@@ -10,13 +10,19 @@
 import org.dotterelcourse.policy.placement.Running;
 
 /**
- * Stops an idempotent stream of a lower tier that has long to go, to be resumed from its tokens.
+ * Preempts an idempotent stream of a lower tier that has much work left, so that it can be resumed after the tokens
+ * generated so far.
  *
- * <p>Answers a rush of an urgent class while every slot holds a long summary. Without it the first of the rush wait for
- * the summaries to end. Never chosen are requests of the same or a higher tier, such as can't run twice or can't be
- * resumed, such as run on their class's minimum share, such as were resumed
- * and have got no further, and such as would soon end: what is left must be more than
- * what reading prompt and tokens again costs.
+ * <p>Answers a burst of an urgent class while long jobs occupy all slots. Without it, the first requests of the burst
+ * wait until long jobs end. A request is not preempted if
+ *
+ * <ul>
+ *   <li>its tier is the same or higher,
+ *   <li>it is not idempotent or can't be resumed,
+ *   <li>it was granted because of its class's minimum share,
+ *   <li>it was resumed and has made no progress since, or
+ *   <li>its remaining work is not greater than the prefill cost of its prompt and tokens, which a resumption repeats.
+ * </ul>
  */
 public final class ResumablePreemption implements Preemption {
     private final CellSettings settings;
@@ -24,11 +30,11 @@
     private final Placement placement;
 
     /**
-     * Makes a preemption for a cell.
+     * Creates the preemption policy of a cell.
      *
-     * @param settings the cell's figures
-     * @param estimator tells how much a request has left
-     * @param placement tells whether the urgent request may use a worker
+     * @param settings parameters of the cell
+     * @param estimator estimates the remaining output of running requests
+     * @param placement determines whether the urgent request may run on a worker
      */
     public ResumablePreemption(CellSettings settings, OutputEstimator estimator, Placement placement) {
         this.settings = settings;
@@ -37,17 +43,17 @@
     }
 
     @Override
-    public Optional<Running> victim(CellRequest urgent, Collection<Running> running) {
+    public Optional<Running> selectVictim(CellRequest urgent, Collection<Running> running) {
         Running best = null;
         double bestGain = 0;
         for (Running candidate : running) {
-            if (!mayStop(candidate, urgent)) {
+            if (!isPreemptible(candidate, urgent)) {
                 continue;
             }
             double gain = gain(candidate);
-            boolean lower = best == null || tier(candidate) > tier(best);
-            boolean same = best != null && tier(candidate) == tier(best);
-            if (gain > 0 && (lower || same && gain > bestGain)) {
+            boolean isLowerTier = best == null || tier(candidate) > tier(best);
+            boolean isSameTier = best != null && tier(candidate) == tier(best);
+            if (gain > 0 && (isLowerTier || isSameTier && gain > bestGain)) {
                 best = candidate;
                 bestGain = gain;
             }
@@ -55,22 +61,22 @@
         return Optional.ofNullable(best);
     }
 
-    private boolean mayStop(Running candidate, CellRequest urgent) {
-        CellRequest ask = candidate.ask();
-        boolean resumable = ask.idempotent() && ask.terms().tokenIntervalNanos() > 0;
-        boolean movedOn = ask.resumedTokens() == 0 || candidate.started();
+    private boolean isPreemptible(Running candidate, CellRequest urgent) {
+        CellRequest request = candidate.ask();
+        boolean resumable = request.idempotent() && request.terms().tokenIntervalNanos() > 0;
+        boolean hasProgressed = request.resumedTokens() == 0 || candidate.started();
         return resumable
-                && movedOn
-                && ask.terms().tier() > urgent.terms().tier()
+                && hasProgressed
+                && request.terms().tier() > urgent.terms().tier()
                 && !candidate.owed()
                 && placement.isUsable(candidate.worker(), urgent);
     }
 
     private double gain(Running candidate) {
-        CellRequest ask = candidate.ask();
-        double left = estimator.remaining(ask.terms(), ask.customer(), candidate.tokens());
-        double again = settings.prefillWeight() * (ask.inputTokens() + candidate.tokens());
-        return left - again;
+        CellRequest request = candidate.ask();
+        double remainingWork = estimator.remaining(request.terms(), request.customer(), candidate.tokens());
+        double prefillWork = settings.prefillWeight() * (request.inputTokens() + candidate.tokens());
+        return remainingWork - prefillWork;
     }
 
     private static int tier(Running running) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/package-info.java
@@ -1,2 +1,2 @@
-/** Which running request makes way when a higher tier would miss its target. */
+/** Preemption: chooses a running request to stop when a request of a higher tier would miss its target. */
 package org.dotterelcourse.policy.preemption;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassAccount.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassAccount.java
@@ -1,36 +1,38 @@
 package org.dotterelcourse.policy.queue;
 
 /**
- * What a class has been served against what it was promised, in work.
+ * Compares the work served for a class with its minimum share, as a credit in output tokens.
  *
- * <p>While a class waits it earns its minimum share of all work that the cell serves, and pays for what it is served.
- * It is owed service once its credit covers its largest request. Nothing is earned while nothing of it waits, else a
- * quiet class would save up and then hold the cell; and what it is served in the order of tiers is paid only as far as
- * the credit goes, else a class that was served well while there was room would pay for it during the next rush.
+ * <p>While a class has queued requests, it earns its minimum share of all work that the cell serves, and is debited for
+ * the work that is served for it. It is owed service once its credit covers its largest request. It earns nothing while
+ * it has no queued requests; otherwise an idle class would accumulate credit and then monopolise the cell. Work that is
+ * served in tier order is debited only down to a credit of zero; otherwise a class that was served well while there was
+ * spare capacity would be penalised for it during the next overload.
  */
 final class ClassAccount {
     private double credit;
-    private double cellWorkSeen;
+    private double lastCellWork;
     private double virtualTime;
 
     /**
-     * Brings the credit up to the work that the cell has served so far.
+     * Credits the class with its share of the work that the cell has served since the last call.
      *
-     * @param cellWork all of it
-     * @param share the class's minimum share
-     * @param most where earnings stop: what can't be placed for long must not hold the cell afterwards
+     * @param cellWork all work that the cell has served so far, in output tokens
+     * @param share minimum share of the class, as a fraction of the cell's work
+     * @param maxCredit upper limit of the credit, so that a class whose requests could not be placed for long does not
+     *     monopolise the cell afterwards
      */
-    void earn(double cellWork, double share, double most) {
-        double earned = share * (cellWork - cellWorkSeen);
-        cellWorkSeen = cellWork;
-        credit = Math.min(credit + earned, Math.max(most, 0));
+    void accrue(double cellWork, double share, double maxCredit) {
+        double earned = share * (cellWork - lastCellWork);
+        lastCellWork = cellWork;
+        credit = Math.min(credit + earned, Math.max(maxCredit, 0));
     }
 
-    void pay(double work) {
+    void debit(double work) {
         credit = Math.min(credit, Math.max(credit - work, 0));
     }
 
-    /** Pays for work that turned out more than was paid for, or takes back what was paid too much. */
+    /** Debits work beyond the estimate that was debited, or refunds the part of the estimate that was not used. */
     void correct(double difference, double actual) {
         double corrected = Math.max(credit - difference, -actual);
         credit = difference > 0 ? Math.min(credit, corrected) : credit - difference;
@@ -44,12 +46,12 @@
         return virtualTime;
     }
 
-    /** A class that comes back doesn't bring the time it was away as a claim. */
-    void catchUp(double tierTime) {
-        virtualTime = Math.max(virtualTime, tierTime);
+    /** Moves the virtual time up to that of the tier, so that a class gains no claim from the time it was idle. */
+    void catchUp(double tierVirtualTime) {
+        virtualTime = Math.max(virtualTime, tierVirtualTime);
     }
 
-    void passVirtualTime(double work, double weight) {
+    void advanceVirtualTime(double work, double weight) {
         virtualTime += work / weight;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassQueue.java
@@ -12,44 +12,45 @@
 import org.dotterelcourse.policy.cell.Mechanism;
 
 /**
- * The waiting requests of one class. Customers take turns by deficit round robin (Shreedhar and Varghese, 1995),
+ * The queued requests of one class. Its customers are served by deficit round robin (Shreedhar and Varghese, 1995),
  * measured in work, so that a customer with many or long requests gets no more of the class than one with few.
  *
- * <p>A turn is charged by estimate, and corrected when the work is known. The quantum is the largest work seen of late. It is never below the work of a head, so that one visit is enough to
- * serve a customer, and a turn costs O(log n).
+ * <p>A request is charged by its estimated cost when it is served, and corrected when the actual cost is known. The
+ * quantum is the largest cost among recent requests. It is never below the cost of the request at the head, so that one
+ * visit is enough to serve a customer, and each step costs O(log n).
  */
 final class ClassQueue {
-    /** How many customers' heads are tried for a place in one go; bounds the cost of a decision. */
+    /** Maximum number of customers whose head request is tried for a place per call; bounds the cost of a decision. */
     private static final int MAX_HEADS_TRIED = 16;
 
-    /** A customer whose answer was much longer than estimated passes at most so many turns for it. */
-    private static final double MOST_DEBT = 4;
+    /** Maximum debt of a customer whose answers were longer than estimated; each quantum of debt skips one round. */
+    private static final double MAX_DEBT_QUANTA = 4;
 
-    /** The quantum's memory: after a thousand requests without a long one it has fallen by two thirds. */
+    /** Decay of the quantum per request: after a thousand requests without a long one it has fallen by two thirds. */
     private static final double QUANTUM_DECAY = 0.999;
 
-    private static final Comparator<CustomerQueue> FEWEST_WAITING =
+    private static final Comparator<CustomerQueue> BY_SIZE =
             Comparator.comparingInt(CustomerQueue::size).thenComparing(CustomerQueue::customer);
 
     private final String name;
-    private final boolean customersShare;
-    private final boolean lateLast;
-    /** In the order of their turns. */
+    private final boolean isFairToCustomers;
+    private final boolean servesLateLast;
+    /** In round-robin order. */
     private final Map<String, CustomerQueue> customers = new LinkedHashMap<>();
 
-    private final TreeSet<CustomerQueue> bySize = new TreeSet<>(FEWEST_WAITING);
+    private final TreeSet<CustomerQueue> bySize = new TreeSet<>(BY_SIZE);
     private final ClassAccount account = new ClassAccount();
     private ClassTerms terms;
     private double quantum;
     private double work;
     private int size;
-    private boolean passedForDebt;
+    private boolean skippedForDebt;
 
     ClassQueue(ClassTerms terms, CellSettings settings) {
         this.name = terms.name();
         this.terms = terms;
-        this.customersShare = settings.isEnabled(Mechanism.CUSTOMER_FAIRNESS);
-        this.lateLast = settings.isEnabled(Mechanism.LATE_LAST);
+        this.isFairToCustomers = settings.isEnabled(Mechanism.CUSTOMER_FAIRNESS);
+        this.servesLateLast = settings.isEnabled(Mechanism.LATE_LAST);
     }
 
     String name() {
@@ -64,7 +65,7 @@
         return account;
     }
 
-    /** The largest work of late. */
+    /** The largest cost among recent requests, in output tokens. */
     double quantum() {
         return quantum;
     }
@@ -77,28 +78,28 @@
         return work;
     }
 
-    void add(Waiting waiting) {
-        terms = waiting.ask().terms();
-        quantum = Math.max(quantum * QUANTUM_DECAY, waiting.work());
-        CustomerQueue queue = customers.get(key(waiting));
+    void add(QueuedRequest queued) {
+        terms = queued.request().terms();
+        quantum = Math.max(quantum * QUANTUM_DECAY, queued.work());
+        CustomerQueue queue = customers.get(customerKey(queued));
         if (queue == null) {
-            queue = new CustomerQueue(key(waiting), lateLast);
+            queue = new CustomerQueue(customerKey(queued), servesLateLast);
             customers.put(queue.customer(), queue);
         } else {
             bySize.remove(queue);
         }
-        queue.add(waiting);
+        queue.add(queued);
         bySize.add(queue);
         size++;
-        work += waiting.work();
+        work += queued.work();
     }
 
-    void remove(Waiting waiting) {
-        CustomerQueue queue = customers.get(key(waiting));
+    void remove(QueuedRequest queued) {
+        CustomerQueue queue = customers.get(customerKey(queued));
         bySize.remove(queue);
-        queue.remove(waiting);
+        queue.remove(queued);
         size--;
-        work = size == 0 ? 0 : work - waiting.work();
+        work = size == 0 ? 0 : work - queued.work();
         if (queue.size() > 0) {
             bySize.add(queue);
             return;
@@ -106,74 +107,78 @@
         customers.remove(queue.customer());
     }
 
-    /** Takes out the next request of this class for which there is a place. */
-    <P> Optional<WaitingQueue.Taken<P>> next(Function<Waiting, Optional<P>> placer, boolean owed, long nowNanos) {
-        passedForDebt = false;
-        Optional<WaitingQueue.Taken<P>> inTurn = next(placer, owed, true, nowNanos);
-        boolean isDone = inTurn.isPresent() || !passedForDebt;
-        return isDone ? inTurn : next(placer, owed, false, nowNanos);
+    /**
+     * Removes the next request of this class that can be placed. Customers in debt are skipped first; if none of the
+     * others has a request that can be placed, debts are ignored.
+     */
+    <P> Optional<RequestQueue.Dequeued<P>> poll(
+            Function<QueuedRequest, Optional<P>> placer, boolean owed, long nowNanos) {
+        skippedForDebt = false;
+        Optional<RequestQueue.Dequeued<P>> inOrder = poll(placer, owed, true, nowNanos);
+        boolean isDone = inOrder.isPresent() || !skippedForDebt;
+        return isDone ? inOrder : poll(placer, owed, false, nowNanos);
     }
 
-    /** Corrects a customer's turns when the work of a request has become known. */
-    void settle(String customer, double difference) {
-        CustomerQueue queue = customers.get(customersShare ? customer : "");
+    /** Corrects the deficit of a customer when the actual cost of a request is known. */
+    void correctCharge(String customer, double difference) {
+        CustomerQueue queue = customers.get(isFairToCustomers ? customer : "");
         if (queue != null) {
-            queue.settle(difference, MOST_DEBT * quantum);
+            queue.correctCharge(difference, MAX_DEBT_QUANTA * quantum);
         }
     }
 
-    private <P> Optional<WaitingQueue.Taken<P>> next(
-            Function<Waiting, Optional<P>> placer, boolean owed, boolean debtsCount, long nowNanos) {
+    private <P> Optional<RequestQueue.Dequeued<P>> poll(
+            Function<QueuedRequest, Optional<P>> placer, boolean owed, boolean skipsDebtors, long nowNanos) {
         int tries = Math.min(MAX_HEADS_TRIED, customers.size());
         for (int i = 0; i < tries; i++) {
             CustomerQueue queue = first();
-            Waiting head = queue.first(nowNanos);
-            if (debtsCount && isInDebt(queue, head)) {
-                passedForDebt = true;
+            QueuedRequest head = queue.head(nowNanos);
+            if (skipsDebtors && isInDebt(queue, head)) {
+                skippedForDebt = true;
                 queue.addDeficit(quantum);
-                endTurn(queue);
+                moveToBack(queue);
                 continue;
             }
             Optional<P> place = placer.apply(head);
             if (place.isPresent()) {
                 serve(queue, head, nowNanos);
-                return Optional.of(new WaitingQueue.Taken<>(head, place.get(), owed));
+                return Optional.of(new RequestQueue.Dequeued<>(head, place.get(), owed));
             }
-            endTurn(queue);
+            moveToBack(queue);
         }
         return Optional.empty();
     }
 
-    Waiting head(long nowNanos) {
-        return first().first(nowNanos);
+    QueuedRequest head(long nowNanos) {
+        return first().head(nowNanos);
     }
 
-    /** The newest request of the customer who has most waiting, so that a flood pushes out its own. */
-    Waiting newestOfLongest(long nowNanos) {
+    /** The newest request of the customer with the longest queue, so that a flood displaces only its own requests. */
+    QueuedRequest newestOfLongest(long nowNanos) {
         return bySize.last().newest(nowNanos);
     }
 
-    /** The work of this class that is served before a new request of the customer. */
-    double workAhead(Waiting waiting) {
-        CustomerQueue queue = customers.get(key(waiting));
+    /** The work of this class that would be served before a new request of the same customer. */
+    double workAhead(QueuedRequest queued) {
+        CustomerQueue queue = customers.get(customerKey(queued));
         double own = queue == null ? 0 : queue.work();
-        int turns = customers.size() + (queue == null ? 1 : 0);
-        return Math.min(work, (own + waiting.work()) * turns - waiting.work());
+        int customerCount = customers.size() + (queue == null ? 1 : 0);
+        return Math.min(work, (own + queued.work()) * customerCount - queued.work());
     }
 
-    private boolean isInDebt(CustomerQueue queue, Waiting head) {
+    private boolean isInDebt(CustomerQueue queue, QueuedRequest head) {
         return queue.deficit() + Math.max(quantum, head.work()) < head.work();
     }
 
-    private void serve(CustomerQueue queue, Waiting head, long nowNanos) {
-        queue.served();
+    private void serve(CustomerQueue queue, QueuedRequest head, long nowNanos) {
+        queue.countServed();
         if (queue.deficit() < head.work()) {
             queue.addDeficit(Math.max(quantum, head.work()));
         }
         queue.addDeficit(-head.work());
         remove(head);
-        if (queue.size() > 0 && queue.deficit() < queue.first(nowNanos).work()) {
-            endTurn(queue);
+        if (queue.size() > 0 && queue.deficit() < queue.head(nowNanos).work()) {
+            moveToBack(queue);
         }
     }
 
@@ -181,12 +186,12 @@
         return customers.values().iterator().next();
     }
 
-    private void endTurn(CustomerQueue queue) {
+    private void moveToBack(CustomerQueue queue) {
         customers.remove(queue.customer());
         customers.put(queue.customer(), queue);
     }
 
-    private String key(Waiting waiting) {
-        return customersShare ? waiting.ask().customer() : "";
+    private String customerKey(QueuedRequest queued) {
+        return isFairToCustomers ? queued.request().customer() : "";
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/CustomerQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/CustomerQueue.java
@@ -4,33 +4,36 @@
 import java.util.TreeSet;
 
 /**
- * The waiting requests of one customer in one class, earliest deadline first among those that can still meet their target.
+ * The queued requests of one customer in one class, ordered by earliest deadline first among those that can still meet
+ * their target.
  *
- * <p>Answers sustained overload. Earliest deadline first alone then serves only what has just become late, and nobody's
- * target is met. So what is late steps behind, and is served in every {@value #LATE_TURN}th turn, the oldest first, so that
- * it ends too. A retry keeps its arrival and so its place.
+ * <p>Answers sustained overload. Under overload, plain earliest deadline first serves only requests that have just
+ * become late, so that no request meets its target. Therefore late requests are served after the others, except that
+ * every {@value #LATE_INTERVAL}th request served is the oldest late one, so that late requests complete too. A retry
+ * keeps its arrival time and so its position.
  *
- * <p>The one to shed is the newest; where late ones hold more than half of the customer's places it is the newest of
- * these, else requests that have missed their target would keep out all that could meet theirs.
+ * <p>The newest request is shed first. If late requests are more than half of the customer's queue, the newest late one
+ * is shed; otherwise requests that have missed their target would displace all those that could meet theirs.
  */
 final class CustomerQueue {
-    private static final int LATE_TURN = 4;
+    private static final int LATE_INTERVAL = 4;
 
-    private static final Comparator<Waiting> EARLIEST_DEADLINE = Comparator.comparingLong(
-                    (Waiting waiting) -> waiting.ask().dueNanos())
-            .thenComparingLong(Waiting::sequence);
+    private static final Comparator<QueuedRequest> EARLIEST_DEADLINE = Comparator.comparingLong(
+                    (QueuedRequest queued) -> queued.request().dueNanos())
+            .thenComparingLong(QueuedRequest::sequence);
 
     private final String customer;
-    private final boolean lateLast;
-    private final TreeSet<Waiting> timely = new TreeSet<>(EARLIEST_DEADLINE);
-    private final TreeSet<Waiting> late = new TreeSet<>(EARLIEST_DEADLINE);
+    private final boolean servesLateLast;
+    private final TreeSet<QueuedRequest> onTime = new TreeSet<>(EARLIEST_DEADLINE);
+    private final TreeSet<QueuedRequest> late = new TreeSet<>(EARLIEST_DEADLINE);
     private double work;
     private double deficit;
-    private int turn;
+    /** Number of requests served, modulo {@link #LATE_INTERVAL}. */
+    private int served;
 
-    CustomerQueue(String customer, boolean lateLast) {
+    CustomerQueue(String customer, boolean servesLateLast) {
         this.customer = customer;
-        this.lateLast = lateLast;
+        this.servesLateLast = servesLateLast;
     }
 
     String customer() {
@@ -38,7 +41,7 @@
     }
 
     int size() {
-        return timely.size() + late.size();
+        return onTime.size() + late.size();
     }
 
     double work() {
@@ -53,42 +56,43 @@
         deficit += amount;
     }
 
-    void settle(double difference, double mostDebt) {
-        deficit = Math.max(-mostDebt, Math.min(mostDebt, deficit - difference));
+    void correctCharge(double difference, double maxDebt) {
+        deficit = Math.max(-maxDebt, Math.min(maxDebt, deficit - difference));
     }
 
-    void add(Waiting waiting) {
-        timely.add(waiting);
-        work += waiting.work();
+    void add(QueuedRequest queued) {
+        onTime.add(queued);
+        work += queued.work();
     }
 
-    void remove(Waiting waiting) {
-        if (timely.remove(waiting) || late.remove(waiting)) {
-            work -= waiting.work();
+    void remove(QueuedRequest queued) {
+        if (onTime.remove(queued) || late.remove(queued)) {
+            work -= queued.work();
         }
     }
 
-    void served() {
-        turn = (turn + 1) % LATE_TURN;
+    void countServed() {
+        served = (served + 1) % LATE_INTERVAL;
     }
 
-    Waiting first(long nowNanos) {
-        setLateAside(nowNanos);
-        boolean isLateTurn = turn == LATE_TURN - 1;
-        if (timely.isEmpty() || isLateTurn && !late.isEmpty()) {
+    QueuedRequest head(long nowNanos) {
+        moveLate(nowNanos);
+        boolean isLateNext = served == LATE_INTERVAL - 1;
+        if (onTime.isEmpty() || isLateNext && !late.isEmpty()) {
             return late.first();
         }
-        return timely.first();
+        return onTime.first();
     }
 
-    Waiting newest(long nowNanos) {
-        setLateAside(nowNanos);
-        return late.size() > timely.size() ? late.last() : timely.last();
+    /** The request to shed: the newest late one if late requests are the majority, else the newest one on time. */
+    QueuedRequest newest(long nowNanos) {
+        moveLate(nowNanos);
+        return late.size() > onTime.size() ? late.last() : onTime.last();
     }
 
-    private void setLateAside(long nowNanos) {
-        while (lateLast && !timely.isEmpty() && timely.first().isLate(nowNanos)) {
-            late.add(timely.pollFirst());
+    private void moveLate(long nowNanos) {
+        while (servesLateLast && !onTime.isEmpty() && onTime.first().isLate(nowNanos)) {
+            late.add(onTime.pollFirst());
         }
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/TieredQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/TieredQueue.java
@@ -15,101 +15,105 @@
 import org.dotterelcourse.policy.cell.Mechanism;
 
 /**
- * Strict tiers with a minimum share for each class.
+ * A queue with strict priority tiers and a minimum share for each class.
  *
- * <p>Answers the load pattern of a rush: urgent classes want more than the cell can do. Without tiers a teller waits
- * behind a night's summaries; without minimum shares the summaries never run while the rush lasts. First come the
- * classes that are owed their minimum share ({@link ClassAccount}), the one owed longest first; then the highest tier
- * that waits, in it the class that has had least work for its weight.
+ * <p>Answers overload by urgent classes. Without tiers, interactive requests wait for batch work that was queued before
+ * them; without minimum shares, batch work starves as long as the overload lasts. The order of service is: first the
+ * classes that are owed their minimum share ({@link ClassAccount}), the one with the most credit relative to its share
+ * first; then the highest tier with queued requests, and within it the class with the least work per weight (weighted
+ * fair queueing by virtual time).
  *
- * <p>Shares and shedding meet as follows. The shared room of {@link CellSettings#maxWaiting()} places is strict: when
- * it is full, the newest request of the lowest tier in it goes, whoever has come. A class with a share, its own or the
- * least, also has {@link CellSettings#guaranteedWaiting()} places of its own. They take nothing from anybody, since no
- * other class could ever use them, and without them a share would be worth nothing in a long rush: nothing of the class would be there to
- * be served. Memory is bounded by the shared room and the guaranteed places of the classes.
+ * <p>The shared capacity of {@link CellSettings#maxWaiting()} requests is strict: when it is exceeded, the newest
+ * request of the lowest tier in it is shed, whichever request arrived last. Each class with a minimum share, configured
+ * or by default, has {@link CellSettings#guaranteedWaiting()} additional places. No other class could use these, so
+ * they reduce no one else's capacity. Without them, a minimum share would have no effect in a long overload, because
+ * all requests of the class would be shed before they could be served. Memory is bounded by the shared capacity plus
+ * the guaranteed places of all classes.
  */
-public final class TieredQueue implements WaitingQueue {
-    /** A class without a minimum share weighs as much as one with a twentieth, against others of its tier. */
-    private static final double SMALLEST_WEIGHT = 0.05;
+public final class TieredQueue implements RequestQueue {
+    /**
+     * Within a tier, a class with a smaller minimum share, or none, weighs as much as one with a share of a twentieth.
+     */
+    private static final double MIN_WEIGHT = 0.05;
 
-    /** A class that couldn't be placed for long may claim so many of its largest requests at once. */
-    private static final double MOST_CREDIT = 8;
+    /** Maximum credit of a class, in multiples of its largest recent request, after it could not be placed for long. */
+    private static final double MAX_CREDIT_QUANTA = 8;
 
-    private static final Comparator<Waiting> EARLIEST_START =
-            Comparator.comparingLong(Waiting::startByNanos).thenComparingLong(Waiting::sequence);
+    private static final Comparator<QueuedRequest> EARLIEST_START =
+            Comparator.comparingLong(QueuedRequest::latestStartNanos).thenComparingLong(QueuedRequest::sequence);
 
     private final CellSettings settings;
-    private final Map<String, Waiting> byId = new HashMap<>();
+    private final Map<String, QueuedRequest> byId = new HashMap<>();
     private final Map<String, ClassQueue> classes = new HashMap<>();
-    private final double[] tierTime = new double[ClassTerms.LOWEST_TIER + 1];
-    private final TreeSet<Waiting> uselessLate = new TreeSet<>(EARLIEST_START);
+    private final double[] tierVirtualTime = new double[ClassTerms.LOWEST_TIER + 1];
+    private final TreeSet<QueuedRequest> uselessWhenLate = new TreeSet<>(EARLIEST_START);
     private double cellWork;
 
     /**
-     * Makes an empty queue.
+     * Creates an empty queue.
      *
-     * @param settings the bounds and the mechanisms in use
+     * @param settings the capacities and the enabled mechanisms
      */
     public TieredQueue(CellSettings settings) {
         this.settings = settings;
     }
 
     @Override
-    public void add(Waiting waiting) {
-        ClassTerms terms = waiting.ask().terms();
+    public void add(QueuedRequest queued) {
+        ClassTerms terms = queued.request().terms();
         ClassQueue queue = classes.computeIfAbsent(terms.name(), name -> new ClassQueue(terms, settings));
         if (queue.size() == 0) {
-            queue.account().earn(cellWork, share(terms), 0);
-            queue.account().catchUp(tierTime[tier(terms)]);
+            queue.account().accrue(cellWork, share(terms), 0);
+            queue.account().catchUp(tierVirtualTime[tier(terms)]);
         }
-        queue.add(waiting);
-        byId.put(waiting.ask().id(), waiting);
+        queue.add(queued);
+        byId.put(queued.request().id(), queued);
         if (terms.lateIsUseless()) {
-            uselessLate.add(waiting);
+            uselessWhenLate.add(queued);
         }
     }
 
     @Override
-    public Optional<Waiting> remove(String requestId) {
-        Waiting waiting = byId.get(requestId);
-        if (waiting == null) {
+    public Optional<QueuedRequest> remove(String requestId) {
+        QueuedRequest queued = byId.get(requestId);
+        if (queued == null) {
             return Optional.empty();
         }
-        classOf(waiting).remove(waiting);
-        forget(waiting);
-        return Optional.of(waiting);
+        classOf(queued).remove(queued);
+        removeFromIndexes(queued);
+        return Optional.of(queued);
     }
 
     @Override
-    public <P> Optional<Taken<P>> next(Function<Waiting, Optional<P>> placer, long nowNanos) {
-        List<ClassQueue> untried = waitingClasses();
-        while (!untried.isEmpty()) {
-            ClassQueue queue = best(untried);
-            untried.remove(queue);
-            Optional<Taken<P>> taken = queue.next(placer, isOwed(queue), nowNanos);
-            if (taken.isPresent()) {
-                Waiting waiting = taken.get().waiting();
-                forget(waiting);
-                charge(queue, waiting.work());
-                return taken;
+    public <P> Optional<Dequeued<P>> poll(Function<QueuedRequest, Optional<P>> placer, long nowNanos) {
+        List<ClassQueue> candidates = classesWithRequests();
+        while (!candidates.isEmpty()) {
+            ClassQueue queue = best(candidates);
+            candidates.remove(queue);
+            Optional<Dequeued<P>> dequeued = queue.poll(placer, isOwed(queue), nowNanos);
+            if (dequeued.isPresent()) {
+                QueuedRequest queued = dequeued.get().queued();
+                removeFromIndexes(queued);
+                charge(queue, queued.work());
+                return dequeued;
             }
         }
         return Optional.empty();
     }
 
     @Override
-    public Optional<Waiting> take(String requestId) {
-        Optional<Waiting> taken = remove(requestId);
-        taken.ifPresent(waiting -> charge(classOf(waiting), waiting.work()));
-        return taken;
+    public Optional<QueuedRequest> pollById(String requestId) {
+        Optional<QueuedRequest> removed = remove(requestId);
+        removed.ifPresent(queued -> charge(classOf(queued), queued.work()));
+        return removed;
     }
 
     @Override
-    public Optional<Waiting> mostUrgent(long nowNanos) {
+    public Optional<QueuedRequest> mostUrgent(long nowNanos) {
         ClassQueue best = null;
         for (ClassQueue queue : classes.values()) {
-            boolean waits = queue.size() > 0;
-            if (waits && (best == null || inTierOrder(queue, best))) {
+            boolean hasRequests = queue.size() > 0;
+            if (hasRequests && (best == null || isBeforeInTierOrder(queue, best))) {
                 best = queue;
             }
         }
@@ -117,74 +121,74 @@
     }
 
     @Override
-    public List<Waiting> all() {
+    public List<QueuedRequest> all() {
         return List.copyOf(byId.values());
     }
 
     @Override
-    public Optional<Waiting> shed(long nowNanos) {
+    public Optional<QueuedRequest> shed(long nowNanos) {
         int shared = 0;
         ClassQueue lowest = null;
         for (ClassQueue queue : classes.values()) {
-            int sheddable = sheddable(queue);
+            int sheddable = sheddableCount(queue);
             shared += sheddable;
-            if (sheddable > 0 && (lowest == null || goesBefore(queue, lowest))) {
+            if (sheddable > 0 && (lowest == null || isShedBefore(queue, lowest))) {
                 lowest = queue;
             }
         }
         if (shared <= settings.maxWaiting()) {
             return Optional.empty();
         }
-        return remove(lowest.newestOfLongest(nowNanos).ask().id());
+        return remove(lowest.newestOfLongest(nowNanos).request().id());
     }
 
     @Override
-    public Optional<Waiting> shedFromClass(String className, long nowNanos) {
+    public Optional<QueuedRequest> shedFromClass(String className, long nowNanos) {
         ClassQueue queue = classes.get(className);
         if (queue == null || queue.size() <= queue.terms().maxWaiting()) {
             return Optional.empty();
         }
-        return remove(queue.newestOfLongest(nowNanos).ask().id());
+        return remove(queue.newestOfLongest(nowNanos).request().id());
     }
 
     @Override
-    public Optional<Waiting> expired(long nowNanos) {
-        if (uselessLate.isEmpty() || !uselessLate.first().isLate(nowNanos)) {
+    public Optional<QueuedRequest> removeExpired(long nowNanos) {
+        if (uselessWhenLate.isEmpty() || !uselessWhenLate.first().isLate(nowNanos)) {
             return Optional.empty();
         }
-        return remove(uselessLate.first().ask().id());
+        return remove(uselessWhenLate.first().request().id());
     }
 
     @Override
-    public void settle(String className, String customer, double charged, double actual) {
+    public void correctCharge(String className, String customer, double charged, double actual) {
         ClassQueue queue = classes.get(className);
         if (queue == null) {
             return;
         }
         double difference = actual - charged;
         cellWork += difference;
-        queue.settle(customer, difference);
+        queue.correctCharge(customer, difference);
         queue.account().correct(difference, actual);
     }
 
     @Override
-    public double workAhead(Waiting waiting) {
-        ClassTerms terms = waiting.ask().terms();
-        double ahead = 0;
-        double own = 0;
-        double owedToLower = 0;
+    public double workAhead(QueuedRequest queued) {
+        ClassTerms terms = queued.request().terms();
+        double otherClasses = 0;
+        double ownClass = 0;
+        double lowerTierShares = 0;
         for (ClassQueue queue : classes.values()) {
             if (queue.name().equals(terms.name())) {
-                own = queue.workAhead(waiting);
+                ownClass = queue.workAhead(queued);
             } else if (queue.size() > 0 && tier(queue.terms()) <= tier(terms)) {
-                ahead += queue.work();
+                otherClasses += queue.work();
             } else if (queue.size() > 0) {
-                owedToLower += share(queue.terms());
+                lowerTierShares += share(queue.terms());
             }
         }
-        double inOrder = (ahead + own) / Math.max(SMALLEST_WEIGHT, 1 - owedToLower);
+        double inTierOrderWork = (otherClasses + ownClass) / Math.max(MIN_WEIGHT, 1 - lowerTierShares);
         double share = share(terms);
-        return share > 0 ? Math.min(inOrder, own / share) : inOrder;
+        return share > 0 ? Math.min(inTierOrderWork, ownClass / share) : inTierOrderWork;
     }
 
     @Override
@@ -197,29 +201,30 @@
         return byId.size();
     }
 
-    private List<ClassQueue> waitingClasses() {
+    /** Brings the credits of all classes with queued requests up to date, and returns these classes. */
+    private List<ClassQueue> classesWithRequests() {
         Collection<ClassQueue> all = classes.values();
-        List<ClassQueue> waiting = new ArrayList<>(all.size());
+        List<ClassQueue> nonEmpty = new ArrayList<>(all.size());
         for (ClassQueue queue : all) {
             if (queue.size() > 0) {
-                queue.account().earn(cellWork, share(queue.terms()), MOST_CREDIT * queue.quantum());
-                waiting.add(queue);
+                queue.account().accrue(cellWork, share(queue.terms()), MAX_CREDIT_QUANTA * queue.quantum());
+                nonEmpty.add(queue);
             }
         }
-        return waiting;
+        return nonEmpty;
     }
 
     private ClassQueue best(List<ClassQueue> candidates) {
         ClassQueue best = candidates.get(0);
         for (ClassQueue queue : candidates) {
-            if (servedBefore(queue, best)) {
+            if (isServedBefore(queue, best)) {
                 best = queue;
             }
         }
         return best;
     }
 
-    private boolean servedBefore(ClassQueue left, ClassQueue right) {
+    private boolean isServedBefore(ClassQueue left, ClassQueue right) {
         if (isOwed(left) != isOwed(right)) {
             return isOwed(left);
         }
@@ -227,10 +232,10 @@
             return left.account().credit() * share(right.terms())
                     > right.account().credit() * share(left.terms());
         }
-        return inTierOrder(left, right);
+        return isBeforeInTierOrder(left, right);
     }
 
-    private boolean inTierOrder(ClassQueue left, ClassQueue right) {
+    private boolean isBeforeInTierOrder(ClassQueue left, ClassQueue right) {
         if (tier(left.terms()) != tier(right.terms())) {
             return tier(left.terms()) < tier(right.terms());
         }
@@ -244,25 +249,26 @@
     private void charge(ClassQueue queue, double work) {
         ClassTerms terms = queue.terms();
         cellWork += work;
-        queue.account().pay(work);
-        tierTime[tier(terms)] = Math.max(tierTime[tier(terms)], queue.account().virtualTime());
-        queue.account().passVirtualTime(work, Math.max(terms.minimumShare(), SMALLEST_WEIGHT));
+        queue.account().debit(work);
+        tierVirtualTime[tier(terms)] =
+                Math.max(tierVirtualTime[tier(terms)], queue.account().virtualTime());
+        queue.account().advanceVirtualTime(work, Math.max(terms.minimumShare(), MIN_WEIGHT));
     }
 
-    private int sheddable(ClassQueue queue) {
+    private int sheddableCount(ClassQueue queue) {
         int guaranteed = share(queue.terms()) > 0 ? settings.guaranteedWaiting() : 0;
         return Math.max(0, queue.size() - guaranteed);
     }
 
-    private boolean goesBefore(ClassQueue left, ClassQueue right) {
+    private boolean isShedBefore(ClassQueue left, ClassQueue right) {
         if (tier(left.terms()) != tier(right.terms())) {
             return tier(left.terms()) > tier(right.terms());
         }
-        return sheddable(left) > sheddable(right);
+        return sheddableCount(left) > sheddableCount(right);
     }
 
     private double share(ClassTerms terms) {
-        double share = Math.max(terms.minimumShare(), settings.leastShare());
+        double share = Math.max(terms.minimumShare(), settings.defaultMinimumShare());
         return settings.isEnabled(Mechanism.MINIMUM_SHARE) ? share : 0;
     }
 
@@ -270,12 +276,12 @@
         return settings.isEnabled(Mechanism.TIERS) ? terms.tier() : ClassTerms.HIGHEST_TIER;
     }
 
-    private ClassQueue classOf(Waiting waiting) {
-        return classes.get(waiting.ask().terms().name());
+    private ClassQueue classOf(QueuedRequest queued) {
+        return classes.get(queued.request().terms().name());
     }
 
-    private void forget(Waiting waiting) {
-        byId.remove(waiting.ask().id());
-        uselessLate.remove(waiting);
+    private void removeFromIndexes(QueuedRequest queued) {
+        byId.remove(queued.request().id());
+        uselessWhenLate.remove(queued);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/package-info.java
@@ -1,2 +1,2 @@
-/** The waiting requests of a cell and the order in which they are served and shed. */
+/** The request queue of a cell: priority tiers, minimum shares of classes and fairness between customers. */
 package org.dotterelcourse.policy.queue;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/Attempt.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/Attempt.java
@@ -1,32 +1,34 @@
 package org.dotterelcourse.policy.retry;
 
 /**
- * How an attempt at a worker ended, as far as the process that made it saw.
+ * A failed attempt to run a request at a worker, as observed by the process that made it.
  *
- * @param worker the worker's name
- * @param end how it ended
+ * @param worker name of the worker
+ * @param end how the attempt failed
  * @param bytesWritten whether any byte of the request may have left this process
- * @param tokensSeen tokens of the answer that have arrived, with those that the attempt was resumed from
- * @param nothingSeen whether no byte of an answer has come, from this attempt or an earlier one
+ * @param tokensReceived number of tokens of the answer received so far, including those that the attempt was resumed
+ *     from
+ * @param nothingReceived whether no byte of an answer has been received, neither from this attempt nor from earlier
+ *     ones
  */
-public record Attempt(String worker, End end, boolean bytesWritten, int tokensSeen, boolean nothingSeen) {
-    /** The ways in which an attempt fails. */
+public record Attempt(String worker, End end, boolean bytesWritten, int tokensReceived, boolean nothingReceived) {
+    /** How an attempt failed. */
     public enum End {
-        /** The connection could not be made. */
+        /** The connection could not be established. */
         NO_CONNECTION,
-        /** The worker said that it refused before it started. */
+        /** The worker reported that it rejected the request before executing any of it. */
         REFUSED_BEFORE_START,
-        /** The worker refused before it started and takes no more work. */
+        /** The worker rejected the request before executing any of it, and accepts no more requests. */
         LEAVING,
-        /** The connection broke. */
+        /** The connection was lost. */
         BROKEN,
-        /** Nothing came for too long. */
+        /** No data was received within the time-out. */
         TIMED_OUT,
-        /** The worker answered with an error of its own after it may have started. */
+        /** The worker answered with an error, possibly after it had started to execute the request. */
         ERROR,
-        /** The grant ran out or was taken back before anything was sent. */
+        /** The grant expired or was revoked before anything was sent. */
         NEVER_SENT,
-        /** The scheduler preempted it. */
+        /** The scheduler preempted the request. */
         PREEMPTED
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/ConservativeFailureClassifier.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/ConservativeFailureClassifier.java
@@ -1,14 +1,15 @@
 package org.dotterelcourse.policy.retry;
 
 /**
- * Says "not run" only on evidence: nothing was sent, or the worker itself refused before it started. Without this line, a
- * payout whose connection broke after it was sent would be told not run, asked for again, and paid twice.
+ * Classifies an attempt as not run only if that is certain: nothing was sent, or the worker itself reported that it
+ * rejected the request before executing it. Otherwise a payment whose connection was lost after it had been sent would
+ * be reported as not run, retried, and executed twice.
  */
 public final class ConservativeFailureClassifier implements FailureClassifier {
     @Override
     public Failure classify(Attempt attempt) {
-        if (!attempt.nothingSeen()) {
-            return new Failure.AnsweredInPart(attempt.tokensSeen());
+        if (!attempt.nothingReceived()) {
+            return new Failure.PartiallyAnswered(attempt.tokensReceived());
         }
         return switch (attempt.end()) {
             case REFUSED_BEFORE_START, LEAVING -> new Failure.NotRun();
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/Failure.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/Failure.java
@@ -1,17 +1,17 @@
 package org.dotterelcourse.policy.retry;
 
-/** What a failed attempt means for the promise that nothing runs twice which must not. */
+/** The effect of a failed attempt, which decides whether the request may be executed again. */
 public sealed interface Failure {
-    /** The request was not run, and that is certain. */
+    /** The request was certainly not executed. */
     record NotRun() implements Failure {}
 
-    /** The request may have run, or may be running still; nothing of an answer has been seen. */
+    /** The request may have been executed, or may still be executing; no part of an answer has been received. */
     record MayHaveRun() implements Failure {}
 
     /**
-     * A part of the answer has been seen.
+     * A part of the answer has been received.
      *
-     * @param tokens tokens of the answer so far
+     * @param tokens number of tokens of the answer received so far
      */
-    record AnsweredInPart(int tokens) implements Failure {}
+    record PartiallyAnswered(int tokens) implements Failure {}
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FailureClassifier.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FailureClassifier.java
@@ -1,12 +1,12 @@
 package org.dotterelcourse.policy.retry;
 
-/** Tells what a failed attempt means. */
+/** Determines whether a request may have been executed by a failed attempt. */
 public interface FailureClassifier {
     /**
      * Classifies a failed attempt.
      *
      * @param attempt the attempt
-     * @return what it means
+     * @return its effect
      */
     Failure classify(Attempt attempt);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FinalOutcome.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FinalOutcome.java
@@ -1,17 +1,17 @@
 package org.dotterelcourse.policy.retry;
 
-/** What a caller is told about a request that failed for good. */
+/** The outcome reported to the caller of a request that failed and is not retried. */
 public sealed interface FinalOutcome {
-    /** The request was not run, and that is certain; the caller may send it again. */
+    /** The request was certainly not executed; the caller may send it again. */
     record NotRun() implements FinalOutcome {}
 
-    /** Nobody here knows whether the request ran. */
+    /** It is unknown whether the request was executed. */
     record Unknown() implements FinalOutcome {}
 
     /**
-     * The answer ends here with a marked error.
+     * The answer is truncated and marked with an error.
      *
-     * @param tokens tokens that the caller has
+     * @param tokens number of tokens that the caller has received
      */
-    record CutShort(int tokens) implements FinalOutcome {}
+    record Truncated(int tokens) implements FinalOutcome {}
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/FractionRetryBudget.java
@@ -1,21 +1,23 @@
 package org.dotterelcourse.policy.retry;
 
 /**
- * Allows retries as a fraction of successes, one budget per upstream.
+ * A retry budget that earns a fraction of a retry with each success; one budget per upstream.
  *
- * <p>Answers the load pattern of an upstream that fails under load. Without a budget each failure is offered again, the
- * offered load doubles at the moment when capacity is least, and the storm outlives its cause. A budget from successes
- * dries up by itself when nothing succeeds. A tenth keeps the extra load below what a cell of ten workers loses with one
- * of them; the reserve lets a quiet upstream, or one that has just been met, retry at all.
+ * <p>Answers retry storms at an upstream that fails under load. Without a budget, each failure is sent again, so the
+ * offered load doubles when capacity is lowest, and the overload outlasts its cause. A budget earned from successes
+ * runs out by itself when nothing succeeds. A fraction of a tenth keeps the additional load below the capacity that a
+ * cell of ten workers loses with one of them. The reserve allows retries to an upstream that has little traffic or is
+ * new.
  */
 public final class FractionRetryBudget implements RetryBudget {
-    /** The usual fraction of successes. */
+    /** Default number of retries earned by each success. */
     public static final double DEFAULT_FRACTION = 0.1;
 
     /**
-     * The usual reserve: retries that may be made before any success, and the most that can be saved up. An engine runs 64
-     * requests, of which each of eight daemons has 8; it covers four engines whose connections are cut one after the
-     * other. With 10, a daemon that had just started told 11 callers of 180 that their outcome was unknown.
+     * Default reserve: the number of retries allowed before any success, and the maximum that can accumulate. An engine
+     * runs 64 requests, 8 from each of eight daemons, so a reserve of 32 covers four engines whose connections are cut
+     * one after the other. With a reserve of 10, a daemon that had just started reported an unknown outcome to 11 of
+     * 180 callers.
      */
     public static final int DEFAULT_RESERVE = 32;
 
@@ -24,10 +26,10 @@
     private double balance;
 
     /**
-     * Makes a budget with a full reserve.
+     * Creates a budget with a full reserve.
      *
-     * @param fraction retries earned by each success, 0 to 1
-     * @param reserve the most retries that can be saved up
+     * @param fraction number of retries earned by each success, 0 to 1
+     * @param reserve initial and maximum number of available retries
      */
     public FractionRetryBudget(double fraction, int reserve) {
         this.fraction = fraction;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryBudget.java
@@ -1,14 +1,14 @@
 package org.dotterelcourse.policy.retry;
 
-/** How many retries an upstream may be sent. Not safe for use by several threads at once. */
+/** Limits the number of retries sent to an upstream. Not safe for use by several threads at once. */
 public interface RetryBudget {
-    /** A request was answered. */
+    /** Records that a request was answered. */
     void recordSuccess();
 
     /**
-     * Takes one retry out of the budget.
+     * Takes one retry from the budget if one is available.
      *
-     * @return whether there was one left
+     * @return whether the retry may be made
      */
     boolean tryAcquire();
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryPolicy.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/RetryPolicy.java
@@ -2,17 +2,17 @@
 
 import org.dotterelcourse.policy.cell.CellRequest;
 
-/** Decides what follows a failed attempt. */
+/** Decides whether and how a request is retried after a failed attempt. */
 public interface RetryPolicy {
     /**
-     * Decides, and takes from the budget what it uses.
+     * Decides about one failed attempt, and takes a retry from the budget if the decision uses one.
      *
-     * @param ask the request as it was granted
-     * @param attempt how the attempt ended
-     * @param resumable whether the upstream can go on after given tokens
-     * @param budget the upstream's budget
-     * @param nowNanos the time, of the clock that the ask's arrival was read from
-     * @return what follows
+     * @param request the request as it was granted
+     * @param attempt the failed attempt
+     * @param resumable whether the upstream can continue an answer after given tokens
+     * @param budget the retry budget of the upstream
+     * @param nowNanos current monotonic time in nanoseconds, of the clock that the request's arrival was read from
+     * @return the decision
      */
-    RetryDecision decide(CellRequest ask, Attempt attempt, boolean resumable, RetryBudget budget, long nowNanos);
+    RetryDecision decide(CellRequest request, Attempt attempt, boolean resumable, RetryBudget budget, long nowNanos);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/SafeRetryPolicy.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/SafeRetryPolicy.java
@@ -6,23 +6,25 @@
 import org.dotterelcourse.policy.cell.CellRequest;
 
 /**
- * Retries what can't run twice by it, within the budget, and never after the deadline of a class for which late is
- * useless.
+ * Retries a request within the retry budget, but never if a non-idempotent request might be executed twice, and never
+ * after the deadline of a class whose late answers are useless.
  *
- * <p>A preempted request and one whose grant was never used are asked for again without the budget: they add no load that
- * the scheduler hasn't chosen. A worker that was only full stays allowed after some time, and so isn't excluded; the
- * scheduler itself leaves it alone for a while.
+ * <p>Retries of preempted requests and of requests whose grant was never used don't consume the budget, because they
+ * add only load that the scheduler itself decided on. A worker that rejected a request because it was full isn't
+ * excluded: it may have free slots again later, and the scheduler itself avoids it for a while.
  */
 public final class SafeRetryPolicy implements RetryPolicy {
-    /** Workers that may fail one request: what kills three is likely to be the request itself. */
-    private static final int MOST_EXCLUDED = 3;
+    /**
+     * Maximum number of workers that may fail a request: one that fails on more probably causes the failures itself.
+     */
+    private static final int MAX_EXCLUDED_WORKERS = 3;
 
     private final FailureClassifier classifier;
 
     /**
-     * Makes a policy.
+     * Creates a policy.
      *
-     * @param classifier tells what failures mean
+     * @param classifier determines whether a failed attempt may have executed the request
      */
     public SafeRetryPolicy(FailureClassifier classifier) {
         this.classifier = classifier;
@@ -30,73 +32,73 @@
 
     @Override
     public RetryDecision decide(
-            CellRequest ask, Attempt attempt, boolean resumable, RetryBudget budget, long nowNanos) {
+            CellRequest request, Attempt attempt, boolean resumable, RetryBudget budget, long nowNanos) {
         Failure failure = classifier.classify(attempt);
-        if (!mayRunAgain(ask, failure, resumable)) {
+        if (!mayRunAgain(request, failure, resumable)) {
             return new RetryDecision.GiveUp(outcome(failure), RetryDecision.Reason.MAY_HAVE_RUN);
         }
-        if (isTooLate(ask, failure, nowNanos)) {
+        if (isTooLate(request, failure, nowNanos)) {
             return new RetryDecision.GiveUp(outcome(failure), RetryDecision.Reason.TOO_LATE);
         }
-        if (excluded(ask, attempt).size() > MOST_EXCLUDED) {
+        if (excluded(request, attempt).size() > MAX_EXCLUDED_WORKERS) {
             return new RetryDecision.GiveUp(outcome(failure), RetryDecision.Reason.FAILED_BY_MANY);
         }
-        if (!isOurs(attempt) && !isFirstResumption(ask, failure) && !budget.tryAcquire()) {
+        if (!isEndedByScheduler(attempt) && !isFirstResumption(request, failure) && !budget.tryAcquire()) {
             return new RetryDecision.GiveUp(outcome(failure), RetryDecision.Reason.BUDGET_SPENT);
         }
-        CellRequest next = next(ask, attempt, failure);
-        boolean resumes = failure instanceof Failure.AnsweredInPart;
+        CellRequest next = next(request, attempt, failure);
+        boolean resumes = failure instanceof Failure.PartiallyAnswered;
         return resumes ? new RetryDecision.Resume(next) : new RetryDecision.Restart(next);
     }
 
-    private static boolean mayRunAgain(CellRequest ask, Failure failure, boolean resumable) {
+    private static boolean mayRunAgain(CellRequest request, Failure failure, boolean resumable) {
         if (failure instanceof Failure.NotRun) {
             return true;
         }
-        boolean isPart = failure instanceof Failure.AnsweredInPart;
-        return ask.idempotent() && (!isPart || resumable);
+        boolean hasPartialAnswer = failure instanceof Failure.PartiallyAnswered;
+        return request.idempotent() && (!hasPartialAnswer || resumable);
     }
 
-    private static boolean isTooLate(CellRequest ask, Failure failure, long nowNanos) {
-        boolean hasBegun = failure instanceof Failure.AnsweredInPart;
-        return !hasBegun && ask.terms().lateIsUseless() && nowNanos >= ask.dueNanos();
+    private static boolean isTooLate(CellRequest request, Failure failure, long nowNanos) {
+        boolean hasPartialAnswer = failure instanceof Failure.PartiallyAnswered;
+        return !hasPartialAnswer && request.terms().lateIsUseless() && nowNanos >= request.dueNanos();
     }
 
-    private static boolean isOurs(Attempt attempt) {
+    private static boolean isEndedByScheduler(Attempt attempt) {
         return attempt.end() == Attempt.End.PREEMPTED || attempt.end() == Attempt.End.NEVER_SENT;
     }
 
     /**
-     * The first time that an answer breaks off it goes on without the budget. A middlebox that cuts all connections to an
-     * engine breaks more answers at once than a quiet upstream's budget covers, and their callers would be told that the
-     * outcome is unknown, though all that is repeated is the reading of the prompt. Once a request, it can at most double
-     * that part of the load.
+     * Whether this would be the first resumption of the request. It doesn't consume the budget: when a middlebox cuts
+     * all connections to an engine, more answers are interrupted at once than the budget of an upstream with little
+     * traffic covers, and an unknown outcome would be reported to their callers, although a resumption repeats only the
+     * prefill. Limited to once per request, it can at most double the prefill load.
      */
-    private static boolean isFirstResumption(CellRequest ask, Failure failure) {
-        return failure instanceof Failure.AnsweredInPart
-                && ask.excludedWorkers().isEmpty();
+    private static boolean isFirstResumption(CellRequest request, Failure failure) {
+        return failure instanceof Failure.PartiallyAnswered
+                && request.excludedWorkers().isEmpty();
     }
 
-    private static CellRequest next(CellRequest ask, Attempt attempt, Failure failure) {
-        int resumed = failure instanceof Failure.AnsweredInPart part ? part.tokens() : ask.resumedTokens();
+    private static CellRequest next(CellRequest request, Attempt attempt, Failure failure) {
+        int resumed = failure instanceof Failure.PartiallyAnswered part ? part.tokens() : request.resumedTokens();
         return new CellRequest(
-                ask.id(),
-                ask.terms(),
-                ask.customer(),
-                ask.arrivalNanos(),
-                ask.inputTokens(),
-                ask.prefix(),
-                ask.idempotent(),
+                request.id(),
+                request.terms(),
+                request.customer(),
+                request.arrivalNanos(),
+                request.inputTokens(),
+                request.prefix(),
+                request.idempotent(),
                 resumed,
-                excluded(ask, attempt));
+                excluded(request, attempt));
     }
 
-    private static Set<String> excluded(CellRequest ask, Attempt attempt) {
+    private static Set<String> excluded(CellRequest request, Attempt attempt) {
         boolean isFull = attempt.end() == Attempt.End.REFUSED_BEFORE_START;
-        if (isOurs(attempt) || isFull) {
-            return ask.excludedWorkers();
+        if (isEndedByScheduler(attempt) || isFull) {
+            return request.excludedWorkers();
         }
-        Set<String> excluded = new HashSet<>(ask.excludedWorkers());
+        Set<String> excluded = new HashSet<>(request.excludedWorkers());
         excluded.add(attempt.worker());
         return Set.copyOf(excluded);
     }
@@ -105,8 +107,8 @@
         if (failure instanceof Failure.NotRun) {
             return new FinalOutcome.NotRun();
         }
-        if (failure instanceof Failure.AnsweredInPart part) {
-            return new FinalOutcome.CutShort(part.tokens());
+        if (failure instanceof Failure.PartiallyAnswered part) {
+            return new FinalOutcome.Truncated(part.tokens());
         }
         return new FinalOutcome.Unknown();
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/retry/package-info.java
@@ -1,2 +1,2 @@
-/** What follows a failed attempt: another worker, a resumed answer, or a final outcome. */
+/** Retry policy: decides whether a failed request is restarted, resumed or given up, and limits retries by a budget. */
 package org.dotterelcourse.policy.retry;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/FifoSchedulerTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/FifoSchedulerTest.java
@@ -14,25 +14,25 @@
     private final FifoScheduler scheduler = new FifoScheduler(2, new Random(1));
 
     @Test
-    void servesInTheOrderOfArrivalAsWorkersGetFree() {
+    void servesRequestsInOrderOfArrivalAsSlotsBecomeFree() {
         scheduler.updateWorkers(List.of(new WorkerInfo("llm-1", "ruwi-hall", 1, false)), 0);
 
-        assertThat(scheduler.offer(ask("a"), 0)).containsExactly(new CellEffect.Granted("a", 1, "llm-1"));
-        assertThat(scheduler.offer(ask("b"), 1)).isEmpty();
+        assertThat(scheduler.offer(request("a"), 0)).containsExactly(new CellEffect.Granted("a", 1, "llm-1"));
+        assertThat(scheduler.offer(request("b"), 1)).isEmpty();
         assertThat(scheduler.release(1, new Completion(Completion.End.ANSWERED, 1, 2, 3), 2))
                 .containsExactly(new CellEffect.Granted("b", 2, "llm-1"));
     }
 
     @Test
-    void refusesWhatDoesNotFitInTheQueue() {
-        scheduler.offer(ask("a"), 0);
-        scheduler.offer(ask("b"), 0);
+    void rejectsRequestsWhenTheQueueIsFull() {
+        scheduler.offer(request("a"), 0);
+        scheduler.offer(request("b"), 0);
 
-        assertThat(scheduler.offer(ask("c"), 0)).hasOnlyElementsOfType(CellEffect.Refused.class);
+        assertThat(scheduler.offer(request("c"), 0)).hasOnlyElementsOfType(CellEffect.Refused.class);
         assertThat(scheduler.waitingCount()).isEqualTo(2);
     }
 
-    private static CellRequest ask(String id) {
+    private static CellRequest request(String id) {
         return new CellRequest(id, TERMS, "bank", 0, 10, 0, true, 0, Set.of());
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
@@ -12,9 +12,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Drives a scheduler with random events, does what it decides, and checks after each decision what must always hold:
- * each request is open or has ended once, no worker has more than its concurrency, no leaving worker gets a grant, no
- * higher tier is shed or preempted for a lower one, and no more wait than may.
+ * Drives a scheduler with random events, carries out its decisions, and checks the invariants after each of them: each
+ * request is open or has ended exactly once, no worker exceeds its concurrency, no worker that is shutting down is
+ * granted a request, no request is shed or preempted for one of a lower tier, and the queue stays within its capacity.
  */
 final class RandomTrace {
     static final int GUARANTEED = 2;
@@ -37,15 +37,15 @@
     final Map<String, CellRequest> waiting = new LinkedHashMap<>();
     final Map<String, End> ended = new HashMap<>();
     final Map<Long, CellEffect.Granted> grants = new LinkedHashMap<>();
-    final Map<String, CellRequest> asks = new HashMap<>();
-    int sheds;
-    int preemptions;
+    final Map<String, CellRequest> requests = new HashMap<>();
+    int shedCount;
+    int preemptionCount;
 
     private final boolean allHaveShares;
     private final Random random;
     private final CellScheduler scheduler;
     private final Map<String, WorkerInfo> workers = new LinkedHashMap<>();
-    private final Set<String> saidLeaving = new HashSet<>();
+    private final Set<String> reportedLeaving = new HashSet<>();
     private long nowNanos;
     private int lastId;
 
@@ -62,34 +62,34 @@
             step();
             assertThat(scheduler.waitingCount()).isEqualTo(waiting.size());
             assertThat(waiting.size()).isLessThanOrEqualTo(MAX_WAITING + CLASSES.size() * GUARANTEED);
-            assertThat(waiting.size() + ended.size() + grants.size()).isEqualTo(asks.size());
+            assertThat(waiting.size() + ended.size() + grants.size()).isEqualTo(requests.size());
         }
     }
 
     private void step() {
-        int kind = random.nextInt(100);
-        if (kind < 45) {
-            offer(newAsk());
-        } else if (kind < 75) {
+        int event = random.nextInt(100);
+        if (event < 45) {
+            offer(newRequest());
+        } else if (event < 75) {
             release();
-        } else if (kind < 85) {
+        } else if (event < 85) {
             progress();
-        } else if (kind < 88) {
+        } else if (event < 88) {
             withdraw();
-        } else if (kind < 90) {
+        } else if (event < 90) {
             publish();
-        } else if (kind < 92) {
+        } else if (event < 92) {
             report();
         } else {
             carryOut(scheduler.advance(nowNanos));
         }
     }
 
-    private CellRequest newAsk() {
+    private CellRequest newRequest() {
         lastId++;
         ClassTerms terms = CLASSES.get(random.nextInt(CLASSES.size()));
         long prefix = random.nextInt(4);
-        CellRequest ask = new CellRequest(
+        CellRequest request = new CellRequest(
                 "r" + lastId,
                 terms,
                 "customer-" + random.nextInt(3),
@@ -99,14 +99,14 @@
                 random.nextInt(4) > 0,
                 0,
                 Set.of());
-        asks.put(ask.id(), ask);
-        return ask;
+        requests.put(request.id(), request);
+        return request;
     }
 
-    private void offer(CellRequest ask) {
-        waiting.put(ask.id(), ask);
-        asks.put(ask.id(), ask);
-        carryOut(scheduler.offer(ask, nowNanos));
+    private void offer(CellRequest request) {
+        waiting.put(request.id(), request);
+        requests.put(request.id(), request);
+        carryOut(scheduler.offer(request, nowNanos));
     }
 
     private void release() {
@@ -119,9 +119,10 @@
         boolean ran = end == Completion.End.ANSWERED || end == Completion.End.FAILED;
         int tokens = ran ? 1 + random.nextInt(100) : 0;
         WorkerInfo listed = workers.get(granted.worker());
-        // A worker that the list shows leaving or gone anyway counts as back when the list shows it back.
+        // If the list already shows the worker as leaving, or lacks it, a later list that shows it active makes it
+        // usable.
         if (end == Completion.End.LEAVING && listed != null && !listed.leaving()) {
-            saidLeaving.add(granted.worker());
+            reportedLeaving.add(granted.worker());
         }
         ended.put(granted.requestId(), ran ? End.ANSWERED : End.FAILED);
         long duration = (1 + random.nextInt(500)) * MILLI;
@@ -149,17 +150,18 @@
         for (int i = 1; i <= 3 + random.nextInt(2); i++) {
             String name = "llm-" + i;
             boolean leaving = random.nextInt(10) == 0;
-            saidLeaving.removeIf(each -> leaving && each.equals(name));
+            reportedLeaving.removeIf(reported -> leaving && reported.equals(name));
             workers.put(name, new WorkerInfo(name, "ruwi-hall", 4, leaving));
         }
-        saidLeaving.retainAll(workers.keySet());
+        reportedLeaving.retainAll(workers.keySet());
         carryOut(scheduler.updateWorkers(List.copyOf(workers.values()), nowNanos));
     }
 
     private void report() {
         String worker = "llm-" + (1 + random.nextInt(3));
         long measured = nowNanos - random.nextInt(5_000) * MILLI;
-        carryOut(scheduler.recordLoadReport(new WorkerReport(worker, measured, random.nextInt(6), random.nextInt(3)), nowNanos));
+        carryOut(scheduler.recordLoadReport(
+                new WorkerReport(worker, measured, random.nextInt(6), random.nextInt(3)), nowNanos));
     }
 
     private void carryOut(List<CellEffect> effects) {
@@ -173,8 +175,8 @@
                 stopped.add(preempted(preempted, (CellEffect.Granted) effects.get(i + 1)));
             }
         }
-        for (CellRequest ask : stopped) {
-            offer(ask);
+        for (CellRequest request : stopped) {
+            offer(request);
         }
     }
 
@@ -182,25 +184,25 @@
         assertThat(waiting.remove(granted.requestId())).isNotNull();
         WorkerInfo worker = workers.get(granted.worker());
         assertThat(worker.leaving()).isFalse();
-        assertThat(saidLeaving).doesNotContain(worker.name());
+        assertThat(reportedLeaving).doesNotContain(worker.name());
         grants.put(granted.grant(), granted);
         long running = grants.values().stream()
-                .filter(each -> each.worker().equals(worker.name()))
+                .filter(other -> other.worker().equals(worker.name()))
                 .count();
         assertThat(running).isLessThanOrEqualTo(worker.concurrency());
     }
 
     private void refused(CellEffect.Refused refused) {
-        CellRequest ask = waiting.remove(refused.requestId());
+        CellRequest request = waiting.remove(refused.requestId());
         assertThat(ended.put(refused.requestId(), End.REFUSED)).isNull();
         assertThat(refused.retryAfterNanos()).isPositive();
         if (refused.reason() != RefusalReason.CELL_FULL) {
             return;
         }
-        sheds++;
+        shedCount++;
         Map<String, Integer> lower = new HashMap<>();
         for (CellRequest other : waiting.values()) {
-            if (other.terms().tier() > ask.terms().tier()) {
+            if (other.terms().tier() > request.terms().tier()) {
                 lower.merge(other.terms().name(), 1, Integer::sum);
             }
         }
@@ -210,11 +212,11 @@
         }
     }
 
-    private CellRequest preempted(CellEffect.Preempted preempted, CellEffect.Granted instead) {
-        preemptions++;
+    private CellRequest preempted(CellEffect.Preempted preempted, CellEffect.Granted replacement) {
+        preemptionCount++;
         assertThat(grants.remove(preempted.grant())).isNotNull();
-        CellRequest stopped = asks.get(preempted.requestId());
-        CellRequest urgent = asks.get(instead.requestId());
+        CellRequest stopped = requests.get(preempted.requestId());
+        CellRequest urgent = requests.get(replacement.requestId());
         assertThat(stopped.idempotent()).isTrue();
         assertThat(stopped.terms().tier()).isGreaterThan(urgent.terms().tier());
         return new CellRequest(
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerTest.java
@@ -17,25 +17,25 @@
             .settings(CellSettings.builder()
                     .maxWaiting(2)
                     .guaranteedWaiting(1)
-                    .leastShare(0)
+                    .defaultMinimumShare(0)
                     .build())
             .build();
 
     @Test
-    void servesTheHigherTierFirst() {
-        scheduler.offer(ask("summary-1", SUMMARY), 0);
-        scheduler.offer(ask("teller-1", TELLER), 0);
+    void grantsTheHigherTierFirst() {
+        scheduler.offer(request("summary-1", SUMMARY), 0);
+        scheduler.offer(request("teller-1", TELLER), 0);
 
         assertThat(scheduler.updateWorkers(oneWorker(1, false), 1))
                 .containsExactly(new CellEffect.Granted("teller-1", 1, "llm-1"));
     }
 
     @Test
-    void refusesTheNewestOfTheLowestTierWhenFull() {
-        scheduler.offer(ask("summary-1", SUMMARY), 0);
-        scheduler.offer(ask("summary-2", SUMMARY), 1);
+    void shedsTheNewestRequestOfTheLowestTierWhenFull() {
+        scheduler.offer(request("summary-1", SUMMARY), 0);
+        scheduler.offer(request("summary-2", SUMMARY), 1);
 
-        List<CellEffect> effects = scheduler.offer(ask("teller-1", TELLER), 2);
+        List<CellEffect> effects = scheduler.offer(request("teller-1", TELLER), 2);
 
         assertThat(effects).singleElement().isInstanceOfSatisfying(CellEffect.Refused.class, refused -> {
             assertThat(refused.requestId()).isEqualTo("summary-2");
@@ -46,34 +46,34 @@
     }
 
     @Test
-    void keepsTheGuaranteedPlaceOfAClassWithAShareWhenFull() {
-        scheduler.offer(ask("parents-1", PARENTS), 0);
-        scheduler.offer(ask("teller-1", TELLER), 0);
-        scheduler.offer(ask("teller-2", TELLER), 0);
+    void keepsTheGuaranteedPlaceOfAClassWithAMinimumShareWhenFull() {
+        scheduler.offer(request("parents-1", PARENTS), 0);
+        scheduler.offer(request("teller-1", TELLER), 0);
+        scheduler.offer(request("teller-2", TELLER), 0);
 
-        assertThat(scheduler.offer(ask("teller-3", TELLER), 0))
+        assertThat(scheduler.offer(request("teller-3", TELLER), 0))
                 .extracting(effect -> ((CellEffect.Refused) effect).requestId())
                 .containsExactly("teller-3");
         assertThat(scheduler.waitingCount()).isEqualTo(3);
     }
 
     @Test
-    void givesALeavingWorkerNothing() {
-        // A VM is about to be replaced. The list of VMs lags, so the worker says it first, by refusing a request; what
-        // were sent there afterwards would be cut off.
+    void grantsNothingToAWorkerThatIsShuttingDown() {
+        // A VM is about to be replaced. The published list of VMs lags behind, so the worker reports it first, by
+        // rejecting a request. Requests sent there afterwards would be interrupted.
         scheduler.updateWorkers(oneWorker(1, false), 0);
-        scheduler.offer(ask("teller-1", TELLER), 0);
-        scheduler.offer(ask("teller-2", TELLER), 0);
+        scheduler.offer(request("teller-1", TELLER), 0);
+        scheduler.offer(request("teller-2", TELLER), 0);
 
         assertThat(scheduler.release(1, new Completion(Completion.End.LEAVING, -1, 1, 0), 1))
                 .isEmpty();
         assertThat(scheduler.updateWorkers(oneWorker(1, false), 2)).isEmpty();
-        assertThat(scheduler.offer(ask("teller-3", TELLER), 3)).hasOnlyElementsOfType(CellEffect.Refused.class);
+        assertThat(scheduler.offer(request("teller-3", TELLER), 3)).hasOnlyElementsOfType(CellEffect.Refused.class);
     }
 
     @Test
-    void refusesWhatIsPastItsTargetAndUselessLate() {
-        scheduler.offer(ask("teller-1", TELLER), 0);
+    void rejectsAQueuedRequestThatHasMissedItsTargetAndIsUselessWhenLate() {
+        scheduler.offer(request("teller-1", TELLER), 0);
 
         assertThat(scheduler.advance(SECOND))
                 .extracting(effect -> ((CellEffect.Refused) effect).reason())
@@ -83,12 +83,13 @@
 
     @Test
     void preemptsALongStreamOfALowerTierForAnUrgentRequest() {
-        // Every slot holds a long summary when a teller comes; waiting for one to end would miss the teller's target.
+        // Long summaries occupy all slots when an urgent request arrives. If it waited for one of them to end, it
+        // would miss its target.
         scheduler.updateWorkers(oneWorker(1, false), 0);
-        scheduler.offer(ask("summary-1", SUMMARY), 0);
+        scheduler.offer(request("summary-1", SUMMARY), 0);
         scheduler.progress(1, 10, SECOND / 2);
 
-        assertThat(scheduler.offer(ask("teller-1", TELLER), SECOND / 2)).isEmpty();
+        assertThat(scheduler.offer(request("teller-1", TELLER), SECOND / 2)).isEmpty();
         assertThat(scheduler.advance(SECOND - 1))
                 .containsExactly(
                         new CellEffect.Preempted("summary-1", 1), new CellEffect.Granted("teller-1", 2, "llm-1"));
@@ -98,7 +99,7 @@
         return List.of(new WorkerInfo("llm-1", "ruwi-hall", concurrency, leaving));
     }
 
-    private static CellRequest ask(String id, ClassTerms terms) {
+    private static CellRequest request(String id, ClassTerms terms) {
         return new CellRequest(id, terms, "bank", 0, 10, 0, true, 0, Set.of());
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/estimate/LearnedOutputEstimatorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/estimate/LearnedOutputEstimatorTest.java
@@ -12,12 +12,12 @@
     private final OutputEstimator estimator = new LearnedOutputEstimator();
 
     @Test
-    void startsFromAQuarterOfTheLongestAnswer() {
+    void startsFromAQuarterOfTheMaximumAnswerLength() {
         assertThat(estimator.remaining(TERMS, "bank", 0)).isEqualTo(1_000);
     }
 
     @Test
-    void tellsApartTheCustomersOfAClass() {
+    void estimatesCustomersOfAClassSeparately() {
         for (int i = 0; i < 300; i++) {
             estimator.observe(TERMS, "brief", 50);
             estimator.observe(TERMS, "wordy", 2_000);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void expectsMoreOfAnAnswerThatHasPassedTheShortOnes() {
+    void expectsALongAnswerOnceItExceedsTheShortOnes() {
         for (int i = 0; i < 300; i++) {
             estimator.observe(TERMS, "bank", i % 2 == 0 ? 50 : 2_000);
         }
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void forgetsLengthsThatNoLongerCome() {
+    void forgetsLengthsThatNoLongerOccur() {
         for (int i = 0; i < 1_000; i++) {
             estimator.observe(TERMS, "bank", 2_000);
         }
