--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/SchedulerArbiter.java
@@ -30,11 +30,11 @@
     }
 
     void workers(List<WorkerInfo> workers, long nowNanos) {
-        held.addAll(scheduler.workers(workers, nowNanos));
+        held.addAll(scheduler.updateWorkers(workers, nowNanos));
     }
 
     void report(WorkerReport report, long nowNanos) {
-        held.addAll(scheduler.report(report, nowNanos));
+        held.addAll(scheduler.recordLoadReport(report, nowNanos));
     }
 
     /** The newest grant, as a mark for {@link #hasGrantUpTo}. */
@@ -49,7 +49,7 @@
     }
 
     int waiting() {
-        return scheduler.waiting();
+        return scheduler.waitingCount();
     }
 
     @Override
@@ -103,14 +103,14 @@
     private Decision decision(CellEffect effect) {
         if (effect instanceof CellEffect.Granted granted) {
             noteGrant(granted.grant(), granted.worker());
-            return new Decision.Granted(granted.askId(), granted.grant(), granted.worker());
+            return new Decision.Granted(granted.requestId(), granted.grant(), granted.worker());
         }
         if (effect instanceof CellEffect.Refused refused) {
-            return new Decision.Refused(refused.askId(), refused.reason().name(), refused.retryAfterNanos());
+            return new Decision.Refused(refused.requestId(), refused.reason().name(), refused.retryAfterNanos());
         }
         CellEffect.Preempted preempted = (CellEffect.Preempted) effect;
         running.remove(preempted.grant());
-        return new Decision.Preempted(preempted.askId(), preempted.grant());
+        return new Decision.Preempted(preempted.requestId(), preempted.grant());
     }
 
     private void noteGrant(long grant, String worker) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatDispatcher.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatDispatcher.java
@@ -103,12 +103,12 @@
         Attempt attempt = Retries.attempt(grant.worker().name(), failure, progress.tokens());
         RetryDecision decision =
                 retries.decide(progress.call().requestClass().upstream(), progress.ask(), attempt, true);
-        if (decision instanceof RetryDecision.Elsewhere elsewhere) {
-            progress.next(elsewhere.ask());
+        if (decision instanceof RetryDecision.Restart elsewhere) {
+            progress.next(elsewhere.request());
             return attempt(progress);
         }
         if (decision instanceof RetryDecision.Resume resume) {
-            progress.next(resume.ask());
+            progress.next(resume.request());
             return attempt(progress);
         }
         RetryDecision.GiveUp given = (RetryDecision.GiveUp) decision;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 import org.dotterelcourse.daemon.upstream.UpstreamFailure;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.retry.Attempt;
-import org.dotterelcourse.policy.retry.EvidenceClassifier;
+import org.dotterelcourse.policy.retry.ConservativeFailureClassifier;
 import org.dotterelcourse.policy.retry.FractionRetryBudget;
 import org.dotterelcourse.policy.retry.RetryBudget;
 import org.dotterelcourse.policy.retry.RetryDecision;
@@ -15,7 +15,7 @@
 
 /** Asks the retry policy, with one budget for each upstream. */
 public final class Retries {
-    private final RetryPolicy policy = new SafeRetryPolicy(new EvidenceClassifier());
+    private final RetryPolicy policy = new SafeRetryPolicy(new ConservativeFailureClassifier());
     private final Map<String, RetryBudget> budgets = new HashMap<>();
 
     /**
@@ -27,7 +27,7 @@
      * @param resumable whether the upstream can go on after given tokens
      * @return what follows
      */
-    synchronized RetryDecision decide(String upstream, Ask ask, Attempt attempt, boolean resumable) {
+    synchronized RetryDecision decide(String upstream, CellRequest ask, Attempt attempt, boolean resumable) {
         return policy.decide(ask, attempt, resumable, budget(upstream), System.nanoTime());
     }
 
@@ -37,7 +37,7 @@
      * @param upstream the upstream's name
      */
     synchronized void succeeded(String upstream) {
-        budget(upstream).succeeded();
+        budget(upstream).recordSuccess();
     }
 
     /** What the policy is told of a failure. */
@@ -56,6 +56,7 @@
     private RetryBudget budget(String upstream) {
         return budgets.computeIfAbsent(
                 upstream,
-                name -> new FractionRetryBudget(FractionRetryBudget.USUAL_FRACTION, FractionRetryBudget.USUAL_RESERVE));
+                name -> new FractionRetryBudget(
+                        FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.DEFAULT_RESERVE));
     }
 }
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/RetryLoad.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/RetryLoad.java
@@ -21,12 +21,12 @@
 
     private static final class Unbounded implements RetryBudget {
         @Override
-        public void succeeded() {
+        public void recordSuccess() {
             // Nothing is counted.
         }
 
         @Override
-        public boolean take() {
+        public boolean tryAcquire() {
             return true;
         }
     }
@@ -36,7 +36,7 @@
     static Result bounded(int failingPercent) {
         return run(
                 failingPercent,
-                new FractionRetryBudget(FractionRetryBudget.USUAL_FRACTION, FractionRetryBudget.USUAL_RESERVE));
+                new FractionRetryBudget(FractionRetryBudget.DEFAULT_FRACTION, FractionRetryBudget.DEFAULT_RESERVE));
     }
 
     static Result unbounded(int failingPercent) {
--- a/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
+++ b/dotterelcourse-experiments/src/main/java/org/dotterelcourse/experiments/Trial.java
@@ -14,7 +14,7 @@
 import org.dotterelcourse.policy.cell.WorkerInfo;
 import org.dotterelcourse.policy.cell.WorkerReport;
 import org.dotterelcourse.policy.retry.Attempt;
-import org.dotterelcourse.policy.retry.EvidenceClassifier;
+import org.dotterelcourse.policy.retry.ConservativeFailureClassifier;
 import org.dotterelcourse.policy.retry.RetryBudget;
 import org.dotterelcourse.policy.retry.RetryDecision;
 import org.dotterelcourse.policy.retry.RetryPolicy;
@@ -36,7 +36,7 @@
 
     private final CellScheduler scheduler;
     private final RetryBudget retryBudget;
-    private final RetryPolicy retryPolicy = new SafeRetryPolicy(new EvidenceClassifier());
+    private final RetryPolicy retryPolicy = new SafeRetryPolicy(new ConservativeFailureClassifier());
     private final long reportLagNanos;
     private final PriorityQueue<Event> events = new PriorityQueue<>((left, right) -> left.atNanos() == right.atNanos()
             ? Long.compare(left.sequence(), right.sequence())
@@ -83,7 +83,7 @@
         for (FakeWorker worker : workers.values()) {
             published.add(new WorkerInfo(worker.name, "ruwi-hall", FakeWorker.BATCH_LIMIT, false));
         }
-        carryOut(scheduler.workers(published, 0));
+        carryOut(scheduler.updateWorkers(published, 0));
         tick(endNanos);
         report(endNanos);
         while (!events.isEmpty()) {
@@ -140,7 +140,7 @@
         for (FakeWorker worker : workers.values()) {
             if (!worker.down && !worker.silent) {
                 WorkerReport report = new WorkerReport(worker.name, nowNanos, worker.running(), worker.waiting.size());
-                at(nowNanos + reportLagNanos, () -> carryOut(scheduler.report(report, nowNanos)));
+                at(nowNanos + reportLagNanos, () -> carryOut(scheduler.recordLoadReport(report, nowNanos)));
             }
         }
         if (nowNanos < endNanos) {
@@ -151,9 +151,9 @@
     private void carryOut(List<CellEffect> effects) {
         for (CellEffect effect : effects) {
             if (effect instanceof CellEffect.Granted granted) {
-                send(open.get(granted.askId()), granted);
+                send(open.get(granted.requestId()), granted);
             } else if (effect instanceof CellEffect.Refused refused) {
-                refuse(open.remove(refused.askId()));
+                refuse(open.remove(refused.requestId()));
             } else if (effect instanceof CellEffect.Preempted preempted) {
                 preempt(preempted);
             }
@@ -277,7 +277,7 @@
         job.call.state = Call.State.ANSWERED;
         boolean useless = job.call.ask.terms().lateIsUseless() && !job.call.attained();
         tally.wasted += useless ? job.call.totalTokens : 0;
-        retryBudget.succeeded();
+        retryBudget.recordSuccess();
         open.remove(job.call.ask.id());
         release(job, Completion.End.ANSWERED);
     }
@@ -307,8 +307,8 @@
         }
         tally.retries += attempt.end() == Attempt.End.PREEMPTED ? 0 : 1;
         call.ask = decision instanceof RetryDecision.Resume resume
-                ? resume.ask()
-                : ((RetryDecision.Elsewhere) decision).ask();
+                ? resume.request()
+                : ((RetryDecision.Restart) decision).request();
         carryOut(scheduler.offer(call.ask, nowNanos));
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.CellSettings;
 import org.dotterelcourse.policy.cell.Completion;
 import org.dotterelcourse.policy.cell.Mechanism;
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public boolean canServe(Ask ask) {
+    public boolean canServe(CellRequest ask) {
         if (!isPublished) {
             return true;
         }
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public boolean isUsable(String worker, Ask ask) {
+    public boolean isUsable(String worker, CellRequest ask) {
         Worker found = workers.get(worker);
         return found != null && found.isUsable(ask);
     }
@@ -104,7 +104,7 @@
             return Optional.empty();
         }
         long prefix = request.ask().prefix();
-        if (prefix == 0 || !settings.uses(Mechanism.PREFIX_AFFINITY)) {
+        if (prefix == 0 || !settings.isEnabled(Mechanism.PREFIX_AFFINITY)) {
             return Optional.of(best.name());
         }
         return Optional.of(
@@ -313,7 +313,7 @@
     }
 
     private void ejectWithinLimit(Worker worker, long nowNanos) {
-        if (!settings.uses(Mechanism.EJECTION)) {
+        if (!settings.isEnabled(Mechanism.EJECTION)) {
             return;
         }
         int maxEjected = (int) (workers.size() * settings.maxEjectedFraction());
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.Completion;
 import org.dotterelcourse.policy.cell.WorkerInfo;
 import org.dotterelcourse.policy.cell.WorkerReport;
@@ -25,7 +25,7 @@
      * @return whether a worker is neither leaving nor excluded for the request; always true until the first list of
      *     workers has been published
      */
-    boolean canServe(Ask ask);
+    boolean canServe(CellRequest ask);
 
     /**
      * Checks whether a worker could serve the request after one of its running requests has been preempted.
@@ -34,7 +34,7 @@
      * @param ask the request
      * @return whether the worker is neither leaving, ejected nor excluded for the request; false for an unknown worker
      */
-    boolean isUsable(String worker, Ask ask);
+    boolean isUsable(String worker, CellRequest ask);
 
     /**
      * Chooses a worker for a request. The caller reports the grant by {@link #recordGrant}.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/PlacementRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/PlacementRequest.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.policy.placement;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /**
  * A request to be placed on a worker, with the estimates that placement needs.
@@ -10,4 +10,4 @@
  * @param expectedOutputTokens expected number of output tokens that are still to be generated
  * @param isLong whether the request counts towards a worker's limit on long requests
  */
-public record PlacementRequest(Ask ask, double prefillWork, double expectedOutputTokens, boolean isLong) {}
+public record PlacementRequest(CellRequest ask, double prefillWork, double expectedOutputTokens, boolean isLong) {}
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.policy.placement;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 
 /** A request that was granted to a worker, with its observed progress. */
 public final class RunningRequest {
@@ -49,7 +49,7 @@
      *
      * @return the request
      */
-    public Ask ask() {
+    public CellRequest ask() {
         return placementRequest.ask();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.CellSettings;
 import org.dotterelcourse.policy.cell.ClassTerms;
 import org.dotterelcourse.policy.cell.Mechanism;
@@ -89,7 +89,7 @@
         if (health.isEjected()) {
             return Math.min(health.probeLimit(), info.concurrency());
         }
-        if (!settings.uses(Mechanism.STRAGGLER_WEIGHT)) {
+        if (!settings.isEnabled(Mechanism.STRAGGLER_WEIGHT)) {
             return info.concurrency();
         }
         return Math.max(1, (int) Math.round(info.concurrency() / health.slowFactor()));
@@ -106,13 +106,13 @@
         if (health.isEjected() && !isEligibleAsProbe(request.ask())) {
             return false;
         }
-        if (!request.isLong() || !settings.uses(Mechanism.LONG_JOB_CAP)) {
+        if (!request.isLong() || !settings.isEnabled(Mechanism.LONG_JOB_CAP)) {
             return true;
         }
         return longRequests < Math.max(1, (int) (settings.longJobShare() * info.concurrency()));
     }
 
-    boolean isUsable(Ask ask) {
+    boolean isUsable(CellRequest ask) {
         return !isLeaving() && !health.isEjected() && !isExcludedFor(ask);
     }
 
@@ -120,7 +120,7 @@
     double expectedFinish(PlacementRequest request, long nowNanos) {
         double load = (double) (grants.size() + foreignRequests(nowNanos)) / Math.max(1, info.concurrency());
         double decode = request.expectedOutputTokens() * (1 + settings.batchSlowdown() * load);
-        double slowFactor = settings.uses(Mechanism.STRAGGLER_WEIGHT) ? health.slowFactor() : 1;
+        double slowFactor = settings.isEnabled(Mechanism.STRAGGLER_WEIGHT) ? health.slowFactor() : 1;
         return slowFactor * (pendingPrefill + request.prefillWork() + decode);
     }
 
@@ -205,16 +205,16 @@
     }
 
     private int foreignRequests(long nowNanos) {
-        boolean fresh = foreignRequests > 0 && nowNanos - reportNanos < settings.reportStaleNanos();
-        return fresh && settings.uses(Mechanism.LOAD_REPORTS) ? foreignRequests : 0;
+        boolean fresh = foreignRequests > 0 && nowNanos - reportNanos < settings.maxReportAgeNanos();
+        return fresh && settings.isEnabled(Mechanism.LOAD_REPORTS) ? foreignRequests : 0;
     }
 
-    private boolean isExcludedFor(Ask ask) {
+    private boolean isExcludedFor(CellRequest ask) {
         return ask.excludedWorkers().contains(info.name());
     }
 
     /** A probe may fail, so it is neither a request that must run only once nor one of the highest tier. */
-    private static boolean isEligibleAsProbe(Ask ask) {
+    private static boolean isEligibleAsProbe(CellRequest ask) {
         return ask.idempotent() && ask.terms().tier() > ClassTerms.HIGHEST_TIER;
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/WorkerHealth.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/WorkerHealth.java
@@ -45,7 +45,7 @@
             return;
         }
         double ratio = Math.min(MAX_SLOW_FACTOR, median / cellMedian);
-        slowFactor = ratio < settings.slowFactorIgnored() ? 1 : ratio;
+        slowFactor = ratio < settings.toleratedSlowFactor() ? 1 : ratio;
     }
 
     /** Returns how many times slower than the cell's median the worker is; 1 if it is not notably slower. */
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.dotterelcourse.policy.cell.Ask;
+import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.CellSettings;
 import org.dotterelcourse.policy.cell.ClassTerms;
 import org.dotterelcourse.policy.cell.Completion;
@@ -75,11 +75,11 @@
         long later = 6 * SECOND;
         ClassTerms highestTier = new ClassTerms("teller", 1, 0, 10, true, SECOND, SECOND, 100);
 
-        Ask nonIdempotent = new Ask("once", TERMS, "bank", 0, 0, 0, false, 0, Set.of());
+        CellRequest nonIdempotent = new CellRequest("once", TERMS, "bank", 0, 0, 0, false, 0, Set.of());
         assertThat(healthy)
                 .contains(place(new PlacementRequest(nonIdempotent, 0, 1, false), later)
                         .worker());
-        Ask urgent = new Ask("urgent", highestTier, "bank", 0, 0, 0, true, 0, Set.of());
+        CellRequest urgent = new CellRequest("urgent", highestTier, "bank", 0, 0, 0, true, 0, Set.of());
         assertThat(healthy)
                 .contains(
                         place(new PlacementRequest(urgent, 0, 1, false), later).worker());
@@ -231,8 +231,8 @@
         return new PlacementRequest(ask(prefix, tokens), 0, tokens, false);
     }
 
-    private static Ask ask(long prefix, int input) {
-        return new Ask("a", TERMS, "bank", 0, input, prefix, true, 0, Set.of());
+    private static CellRequest ask(long prefix, int input) {
+        return new CellRequest("a", TERMS, "bank", 0, input, prefix, true, 0, Set.of());
     }
 
     private static List<WorkerInfo> workers(int concurrency) {
