--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -9,7 +9,7 @@
 import org.dotterelcourse.policy.repeat.RecentOutcomes;
 import org.dotterelcourse.policy.repeat.SharedSuspicion;
 import org.dotterelcourse.policy.repeat.WorkerTrust;
-import org.dotterelcourse.policy.selection.Intake;
+import org.dotterelcourse.policy.selection.SendPermission;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
 /** One worker with what this process and its peers have there. Used on the gateway's loop only. */
@@ -90,15 +90,15 @@
     }
 
     /** Whether this process may send it a request now. */
-    Intake intake(ColdStart coldStart, OptionalDouble limit, ShareHolders holders, long nowNanos) {
+    SendPermission intake(ColdStart coldStart, OptionalDouble limit, ShareHolders holders, long nowNanos) {
         boolean cold = coldPeriod.cold(coldStart, nowNanos);
         if (!cold && limit.isEmpty()) {
-            return Intake.FREE;
+            return SendPermission.FREE;
         }
         int processes = holders.processes();
         boolean open = (!cold || open(RateShare.ofPeak(coldStart.perSecond(), processes), holders, nowNanos))
                 && (limit.isEmpty() || open(RateShare.ofMean(limit.getAsDouble(), processes), holders, nowNanos));
-        return open ? Intake.SHARED : Intake.CLOSED;
+        return open ? SendPermission.SHARED : SendPermission.CLOSED;
     }
 
     private boolean open(RateShare share, ShareHolders holders, long nowNanos) {
@@ -143,7 +143,7 @@
         return suspects > 0;
     }
 
-    WorkerLoad load(long nowNanos, boolean suspectedByAll, Intake intake) {
+    WorkerLoad load(long nowNanos, boolean suspectedByAll, SendPermission intake) {
         return new WorkerLoad(
                 entry.id(),
                 incarnation,
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
@@ -12,7 +12,7 @@
 
 import org.dotterelcourse.policy.cold.ColdStart;
 import org.dotterelcourse.policy.rate.WorkerLimits;
-import org.dotterelcourse.policy.selection.Intake;
+import org.dotterelcourse.policy.selection.SendPermission;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
 /** All known workers. Used on the gateway's loop only. */
@@ -198,7 +198,7 @@
                 .toList();
     }
 
-    private Intake intake(WorkerState worker, ColdStart coldStart, long nowNanos) {
+    private SendPermission intake(WorkerState worker, ColdStart coldStart, long nowNanos) {
         return worker.intake(coldStart, limits.limit(worker.incarnation()), shareHolders, nowNanos);
     }
 
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 
 import org.dotterelcourse.policy.cold.ColdStart;
-import org.dotterelcourse.policy.selection.Intake;
+import org.dotterelcourse.policy.selection.SendPermission;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 import org.junit.jupiter.api.Test;
 
@@ -83,12 +83,12 @@
         start(1, 0);
         publish(0, 4 * SECOND);
         Workers process = fleet.get(0);
-        assertThat(state(process, 5 * SECOND)).isEqualTo(Intake.FREE);
+        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.FREE);
         Placement placement = process.place(process.find("w").orElseThrow(), false, 0, 5 * SECOND);
         placement.notReached(5 * SECOND);
         placement.ended();
-        assertThat(state(process, 7 * SECOND)).isEqualTo(Intake.SHARED);
-        assertThat(state(process, 8 * SECOND + MILLI)).isEqualTo(Intake.FREE);
+        assertThat(state(process, 7 * SECOND)).isEqualTo(SendPermission.SHARED);
+        assertThat(state(process, 8 * SECOND + MILLI)).isEqualTo(SendPermission.FREE);
     }
 
     // A data centre is taken back. What its workers said before it was evacuated is old: they are cold now.
@@ -99,8 +99,8 @@
         Workers process = fleet.get(0);
         process.evacuated("dc");
         process.takenBack("dc", 9 * SECOND);
-        assertThat(state(process, 9 * SECOND)).isEqualTo(Intake.SHARED);
-        assertThat(state(process, 12 * SECOND)).isEqualTo(Intake.FREE);
+        assertThat(state(process, 9 * SECOND)).isEqualTo(SendPermission.SHARED);
+        assertThat(state(process, 12 * SECOND)).isEqualTo(SendPermission.FREE);
     }
 
     @Test
@@ -108,9 +108,9 @@
         start(1, 0);
         publish(60_000, 4 * SECOND);
         Workers process = fleet.get(0);
-        assertThat(state(process, 5 * SECOND)).isEqualTo(Intake.SHARED);
+        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.SHARED);
         publish(0, 6 * SECOND);
-        assertThat(state(process, 6 * SECOND)).isEqualTo(Intake.FREE);
+        assertThat(state(process, 6 * SECOND)).isEqualTo(SendPermission.FREE);
     }
 
     @Test
@@ -119,7 +119,7 @@
         publish(60_000, 4 * SECOND);
         Workers process = fleet.get(0);
         process.upstreams(upstream -> true, upstream -> new ColdStart(3_000, 0));
-        assertThat(state(process, 5 * SECOND)).isEqualTo(Intake.FREE);
+        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.FREE);
     }
 
     private void start(int processes, long nowNanos) {
@@ -146,7 +146,7 @@
     private void pressUntil(long untilNanos, long fromNanos) {
         for (long now = fromNanos; now < untilNanos; now += 10 * MILLI) {
             for (Workers process : fleet) {
-                if (state(process, now) != Intake.CLOSED) {
+                if (state(process, now) != SendPermission.CLOSED) {
                     process.place(process.find("w").orElseThrow(), false, 0, now);
                     sent.add(now);
                 }
@@ -163,7 +163,7 @@
                 .orElse(0);
     }
 
-    private static Intake state(Workers process, long nowNanos) {
+    private static SendPermission state(Workers process, long nowNanos) {
         List<WorkerLoad> candidates = process.candidates("u", Set.of(), nowNanos);
         return candidates.get(0).intake();
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Intake.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SendPermission.java
@@ -1,7 +1,7 @@
 package org.dotterelcourse.policy.selection;
 
 /** Whether a worker takes requests of this process. */
-public enum Intake {
+public enum SendPermission {
     /** It takes whatever it has room for. */
     FREE,
     /** It takes only so many from the whole fleet, and may get this request. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
@@ -25,13 +25,13 @@
         int interactiveStreams,
         double prefillMillis,
         boolean suspected,
-        Intake intake) {
+        SendPermission intake) {
     /**
      * Whether it may get a request.
      *
      * @return false while this process may send it nothing more
      */
     public boolean open() {
-        return intake != Intake.CLOSED;
+        return intake != SendPermission.CLOSED;
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -267,7 +267,7 @@
                 engine.interactiveStreams(),
                 engine.prefillMillis(),
                 engine.suspected(),
-                Intake.CLOSED);
+                SendPermission.CLOSED);
     }
 
     private EngineSelector selector(long seed, CachedPrefixes cached) {
@@ -288,6 +288,6 @@
     }
 
     private static WorkerLoad load(String id, String address, int inFlight, double prefill, boolean suspected) {
-        return new WorkerLoad(id, id.hashCode(), address, "dc", 64, inFlight, 0, prefill, suspected, Intake.FREE);
+        return new WorkerLoad(id, id.hashCode(), address, "dc", 64, inFlight, 0, prefill, suspected, SendPermission.FREE);
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
@@ -42,20 +42,20 @@
     // suspected is tried first.
     @Test
     void aClosedWorkerGetsNothingThoughAllOthersAreSuspected() {
-        WorkerLoad closed = load("cold", "dc", 0, false, Intake.CLOSED);
+        WorkerLoad closed = load("cold", "dc", 0, false, SendPermission.CLOSED);
         assertThat(selector.select("dc", List.of(closed), 0)).isEmpty();
         assertThat(selector.select("dc", List.of(closed, load("bad", "dc", 6, 5, true)), 0))
                 .contains("bad");
-        WorkerLoad open = load("open", "dc", 0, false, Intake.SHARED);
+        WorkerLoad open = load("open", "dc", 0, false, SendPermission.SHARED);
         assertThat(selector.select("dc", List.of(closed, open), 0)).contains("open");
     }
 
     private static WorkerLoad load(String id, String dataCentre, int slots, int inFlight, boolean suspected) {
         return new WorkerLoad(
-                id, id.hashCode(), "10.0.0.1:1", dataCentre, slots, inFlight, 0, 0, suspected, Intake.FREE);
+                id, id.hashCode(), "10.0.0.1:1", dataCentre, slots, inFlight, 0, 0, suspected, SendPermission.FREE);
     }
 
-    private static WorkerLoad load(String id, String dataCentre, int inFlight, boolean suspected, Intake state) {
+    private static WorkerLoad load(String id, String dataCentre, int inFlight, boolean suspected, SendPermission state) {
         return new WorkerLoad(id, id.hashCode(), "10.0.0.1:1", dataCentre, 6, inFlight, 0, 0, suspected, state);
     }
 }
