--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/UpstreamSpec.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/UpstreamSpec.java
@@ -1,7 +1,7 @@
 package org.dotterelcourse.gateway.routing;
 
 import org.dotterelcourse.policy.cold.ColdStart;
-import org.dotterelcourse.policy.selection.Transfer;
+import org.dotterelcourse.policy.selection.TransferCost;
 
 /**
  * An upstream.
@@ -12,7 +12,7 @@
  * @param transfer what it takes an engine to fetch parts of prompts from another one
  * @param coldStart what its workers bear while they are cold
  */
-public record UpstreamSpec(String name, boolean engine, int tokensPerEvent, Transfer transfer, ColdStart coldStart) {
+public record UpstreamSpec(String name, boolean engine, int tokensPerEvent, TransferCost transfer, ColdStart coldStart) {
     /**
      * An upstream of plain services.
      *
@@ -21,6 +21,6 @@
      * @return the upstream
      */
     public static UpstreamSpec plain(String name, ColdStart coldStart) {
-        return new UpstreamSpec(name, false, 0, Transfer.none(), coldStart);
+        return new UpstreamSpec(name, false, 0, TransferCost.none(), coldStart);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -87,7 +87,7 @@
     private final String dataCentre;
     private final CachedPrefixes prefixes;
     private final EngineSplit split;
-    private final Transfer transfer;
+    private final TransferCost transfer;
     private final RandomGenerator random;
 
     /**
@@ -100,7 +100,7 @@
      * @param random breaks ties
      */
     public EngineSelector(
-            String dataCentre, CachedPrefixes prefixes, EngineSplit split, Transfer transfer, RandomGenerator random) {
+            String dataCentre, CachedPrefixes prefixes, EngineSplit split, TransferCost transfer, RandomGenerator random) {
         this.dataCentre = dataCentre;
         this.prefixes = prefixes;
         this.split = split;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Transfer.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/TransferCost.java
@@ -5,7 +5,7 @@
  *
  * @param millisPerToken time on the link for a token; infinite if engines can't fetch
  */
-public record Transfer(double millisPerToken) {
+public record TransferCost(double millisPerToken) {
     private static final double BITS_PER_BYTE = 8;
     private static final double BITS_PER_MEGABIT_MILLI = 1_000;
 
@@ -13,8 +13,8 @@
     private static final double SETUP_MILLIS = 3;
 
     /** Of engines that can't fetch. */
-    public static Transfer none() {
-        return new Transfer(Double.POSITIVE_INFINITY);
+    public static TransferCost none() {
+        return new TransferCost(Double.POSITIVE_INFINITY);
     }
 
     /**
@@ -24,10 +24,10 @@
      * @param megabitsPerSecond the link of an engine
      * @return none if a figure is missing, that is, zero
      */
-    public static Transfer over(double bytesPerToken, double megabitsPerSecond) {
+    public static TransferCost over(double bytesPerToken, double megabitsPerSecond) {
         boolean known = bytesPerToken > 0 && megabitsPerSecond > 0;
         return known
-                ? new Transfer(bytesPerToken * BITS_PER_BYTE / (megabitsPerSecond * BITS_PER_MEGABIT_MILLI))
+                ? new TransferCost(bytesPerToken * BITS_PER_BYTE / (megabitsPerSecond * BITS_PER_MEGABIT_MILLI))
                 : none();
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -123,7 +123,7 @@
         prefixes.sent(prompt, first.hashCode(), SECOND);
         EngineSplit changed = new EngineSplit();
         changed.peer("peer", true, new PaceWork(new double[] {20_000, 20_000, 1_000}), SECOND);
-        EngineSelector after = new EngineSelector("dc", prefixes, changed, Transfer.none(), new Random(3));
+        EngineSelector after = new EngineSelector("dc", prefixes, changed, TransferCost.none(), new Random(3));
         assertThat(after.select(prompt, engines, 2 * SECOND)).contains(first);
     }
 
@@ -211,7 +211,7 @@
     }
 
     private EngineSelector fetching() {
-        Transfer transfer = Transfer.over(160_000, 1_000_000);
+        TransferCost transfer = TransferCost.over(160_000, 1_000_000);
         return new EngineSelector("dc", prefixes, split, transfer, new Random(5));
     }
 
@@ -271,7 +271,7 @@
     }
 
     private EngineSelector selector(long seed, CachedPrefixes cached) {
-        return new EngineSelector("dc", cached, split, Transfer.none(), new Random(seed));
+        return new EngineSelector("dc", cached, split, TransferCost.none(), new Random(seed));
     }
 
     private static Prompt prompt(String part, Pace pace) {
