--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -10,7 +10,7 @@
 import org.dotterelcourse.gateway.workers.Placement;
 import org.dotterelcourse.gateway.workers.WorkerState;
 import org.dotterelcourse.gateway.workers.Workers;
-import org.dotterelcourse.policy.selection.Choice;
+import org.dotterelcourse.policy.selection.SelectionResult;
 import org.dotterelcourse.policy.selection.EngineModel;
 import org.dotterelcourse.policy.selection.EngineSelector;
 import org.dotterelcourse.policy.selection.EngineSplit;
@@ -102,14 +102,14 @@
         Call.Terms terms = call.terms();
         EngineSelector selector = new EngineSelector(
                 dataCentre, state.prefixes(), split(call), terms.upstream().transfer(), random);
-        Choice choice = selector.choose(prompt.get(), candidates, mostStreams, nowNanos);
-        if (choice instanceof Choice.Engine engine) {
+        SelectionResult choice = selector.choose(prompt.get(), candidates, mostStreams, nowNanos);
+        if (choice instanceof SelectionResult.Engine engine) {
             return state.workers()
                     .find(engine.id())
                     .map(worker -> engine(call, worker, engine, nowNanos))
                     .orElseGet(Outcome.NoWorker::new);
         }
-        return choice instanceof Choice.NoRoom ? new Outcome.NoRoom() : new Outcome.NoWorker();
+        return choice instanceof SelectionResult.NoRoom ? new Outcome.NoRoom() : new Outcome.NoWorker();
     }
 
     /** Requests under which a worker crashed are kept apart where that goes, so that the next crash tells which it was. */
@@ -140,7 +140,7 @@
         return new Outcome.Placed(place(call, worker, false, 0, nowNanos), "");
     }
 
-    private Outcome engine(Call call, WorkerState worker, Choice.Engine engine, long nowNanos) {
+    private Outcome engine(Call call, WorkerState worker, SelectionResult.Engine engine, long nowNanos) {
         Prompt prompt = call.terms().prompt().orElseThrow();
         call.sending(worker.entry().id(), nowNanos);
         double prefill = prompt.prefillMillis(engine.cachedTokens());
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -110,7 +110,7 @@
 
     @Override
     public Optional<String> select(Prompt prompt, List<WorkerLoad> workers, long nowNanos) {
-        return choose(prompt, workers, Integer.MAX_VALUE, nowNanos) instanceof Choice.Engine engine
+        return choose(prompt, workers, Integer.MAX_VALUE, nowNanos) instanceof SelectionResult.Engine engine
                 ? Optional.of(engine.id())
                 : Optional.empty();
     }
@@ -125,7 +125,7 @@
      * @param nowNanos the time on the monotonic clock
      * @return the engine, or why there is none
      */
-    public Choice choose(Prompt prompt, List<WorkerLoad> workers, int mostStreams, long nowNanos) {
+    public SelectionResult choose(Prompt prompt, List<WorkerLoad> workers, int mostStreams, long nowNanos) {
         boolean anySound = workers.stream().anyMatch(each -> each.open() && !each.suspected());
         List<WorkerLoad> ranked = new ArrayList<>(workers);
         ranked.sort(Comparator.comparingInt((WorkerLoad each) -> Ranks.mix(each.address()))
@@ -138,7 +138,7 @@
                 .filter(part -> prefixes.readSomewhere(part.id(), nowNanos))
                 .isPresent();
         Optional<Source> source = source(prompt, ranked, nowNanos);
-        Choice.Engine best = null;
+        SelectionResult.Engine best = null;
         double least = Double.MAX_VALUE;
         for (int i = 0; i < ranked.size(); i++) {
             WorkerLoad worker = ranked.get(i);
@@ -154,13 +154,13 @@
                     + (range.holds(i) ? 0 : outside(prompt, cached));
             if (cost < least) {
                 least = cost;
-                best = new Choice.Engine(worker.id(), cached, used.map(Source::worker));
+                best = new SelectionResult.Engine(worker.id(), cached, used.map(Source::worker));
             }
         }
         if (best != null) {
             return best;
         }
-        return workers.isEmpty() ? new Choice.NoEngine() : new Choice.NoRoom();
+        return workers.isEmpty() ? new SelectionResult.NoEngine() : new SelectionResult.NoRoom();
     }
 
     /** An engine that has read most of a prompt's parts. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Choice.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SelectionResult.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** Where a prompt should go. */
-public sealed interface Choice {
+public sealed interface SelectionResult {
     /**
      * To an engine.
      *
@@ -11,11 +11,11 @@
      * @param cachedTokens how much of the prompt it need not read
      * @param source the engine from which it should fetch parts that it has not read itself; empty if there is none
      */
-    record Engine(String id, int cachedTokens, Optional<String> source) implements Choice {}
+    record Engine(String id, int cachedTokens, Optional<String> source) implements SelectionResult {}
 
     /** Nowhere yet: each engine that it may go to has as many streams under way as it can serve in time. */
-    record NoRoom() implements Choice {}
+    record NoRoom() implements SelectionResult {}
 
     /** Nowhere: there is no engine. */
-    record NoEngine() implements Choice {}
+    record NoEngine() implements SelectionResult {}
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -154,7 +154,7 @@
         prefixes.sent(prompt, home.hashCode(), SECOND);
         List<WorkerLoad> busy = withLoad(engines, home, 20, 3_000, false);
         assertThat(fetching().choose(prompt, busy, Integer.MAX_VALUE, 3 * SECOND))
-                .isInstanceOfSatisfying(Choice.Engine.class, choice -> {
+                .isInstanceOfSatisfying(SelectionResult.Engine.class, choice -> {
                     assertThat(choice.id()).isNotEqualTo(home);
                     assertThat(choice.source()).contains(home);
                     assertThat(choice.cachedTokens()).isEqualTo(13_000);
@@ -189,7 +189,7 @@
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, home.hashCode(), SECOND);
         assertThat(fetching().choose(prompt, engines, Integer.MAX_VALUE, 3 * SECOND))
-                .isInstanceOfSatisfying(Choice.Engine.class, choice -> {
+                .isInstanceOfSatisfying(SelectionResult.Engine.class, choice -> {
                     assertThat(choice.id()).isEqualTo(home);
                     assertThat(choice.source()).isEmpty();
                 });
@@ -201,12 +201,12 @@
         List<WorkerLoad> full = idle(ENGINES).stream()
                 .map(each -> load(each.id(), each.address(), 20, 0, false))
                 .toList();
-        assertThat(selector.choose(prompt, full, 20, SECOND)).isEqualTo(new Choice.NoRoom());
-        assertThat(selector.choose(prompt, List.of(), 20, SECOND)).isEqualTo(new Choice.NoEngine());
+        assertThat(selector.choose(prompt, full, 20, SECOND)).isEqualTo(new SelectionResult.NoRoom());
+        assertThat(selector.choose(prompt, List.of(), 20, SECOND)).isEqualTo(new SelectionResult.NoEngine());
         List<WorkerLoad> oneFree = withLoad(full, full.get(3).id(), 19, 0, false);
         assertThat(selector.choose(prompt, oneFree, 20, SECOND))
                 .isInstanceOfSatisfying(
-                        Choice.Engine.class,
+                        SelectionResult.Engine.class,
                         choice -> assertThat(choice.id()).isEqualTo(full.get(3).id()));
     }
 
@@ -216,8 +216,8 @@
     }
 
     private Optional<String> source(Prompt prompt, List<WorkerLoad> engines, long nowNanos) {
-        Choice choice = fetching().choose(prompt, engines, Integer.MAX_VALUE, nowNanos);
-        return ((Choice.Engine) choice).source();
+        SelectionResult choice = fetching().choose(prompt, engines, Integer.MAX_VALUE, nowNanos);
+        return ((SelectionResult.Engine) choice).source();
     }
 
     private static List<WorkerLoad> withLoad(
@@ -247,7 +247,7 @@
         }
         assertThat(selector(1, new CachedPrefixes())
                         .choose(prompt("p", Pace.SOON), closed(idle(1), "engine-0"), Integer.MAX_VALUE, 0))
-                .isInstanceOf(Choice.NoRoom.class);
+                .isInstanceOf(SelectionResult.NoRoom.class);
     }
 
     private static List<WorkerLoad> closed(List<WorkerLoad> engines, String id) {
