--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -30,7 +30,7 @@
 import org.dotterelcourse.policy.quarantine.CrashNotice;
 import org.dotterelcourse.policy.rate.LimitNotice;
 import org.dotterelcourse.policy.selection.CachedPrefixes;
-import org.dotterelcourse.policy.selection.PaceWork;
+import org.dotterelcourse.policy.selection.LatencyClassWork;
 import org.jboss.logging.Logger;
 
 /**
@@ -280,7 +280,7 @@
         }
         places.forEach(place -> report.addParts(place.part()).addPartWorkers(place.worker()));
         state.splits().forEach((upstream, split) -> {
-            PaceWork work =
+            LatencyClassWork work =
                     switch (kind) {
                         case GATHERED -> split.gathered();
                         case OTHERS -> split.without(receiver);
@@ -336,10 +336,10 @@
             double[] millis = work.getMillisByPaceList().stream()
                     .mapToDouble(Long::doubleValue)
                     .toArray();
-            if (millis.length == PaceWork.none().millis().length) {
+            if (millis.length == LatencyClassWork.none().millis().length) {
                 boolean alone = scope == PeerLoads.Scope.OWN;
                 String speaker = scope == PeerLoads.Scope.OTHERS ? COLLECTOR : peer;
-                state.split(work.getUpstream()).peer(speaker, alone, new PaceWork(millis), now);
+                state.split(work.getUpstream()).peer(speaker, alone, new LatencyClassWork(millis), now);
             }
         }
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSplit.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSplit.java
@@ -41,20 +41,20 @@
     private static final long KEPT_NANOS = 10_000_000_000L;
 
     private final Map<String, Told> peers = new HashMap<>();
-    private PaceWork own = new PaceWork(FIRST_WORK.clone());
+    private LatencyClassWork own = new LatencyClassWork(FIRST_WORK.clone());
     private boolean begun;
     private long lastNanos;
     private int[] counts = new int[0];
     private int lastWorkers;
 
-    private record Told(boolean alone, PaceWork work, long atNanos) {}
+    private record Told(boolean alone, LatencyClassWork work, long atNanos) {}
 
     /**
      * What lately came to this process, for its peers.
      *
      * @return the work as of the last request
      */
-    public PaceWork own() {
+    public LatencyClassWork own() {
         return own;
     }
 
@@ -66,7 +66,7 @@
      * @param work its work
      * @param nowNanos the time
      */
-    public void peer(String peer, boolean alone, PaceWork work, long nowNanos) {
+    public void peer(String peer, boolean alone, LatencyClassWork work, long nowNanos) {
         peers.put(peer, new Told(alone, work, nowNanos));
     }
 
@@ -75,8 +75,8 @@
      *
      * @return the sum
      */
-    public PaceWork gathered() {
-        PaceWork sum = own;
+    public LatencyClassWork gathered() {
+        LatencyClassWork sum = own;
         for (Told told : peers.values()) {
             sum = told.alone() ? sum.plus(told.work()) : sum;
         }
@@ -89,8 +89,8 @@
      * @param peer its name
      * @return the sum
      */
-    public PaceWork without(String peer) {
-        PaceWork sum = own;
+    public LatencyClassWork without(String peer) {
+        LatencyClassWork sum = own;
         for (Map.Entry<String, Told> told : peers.entrySet()) {
             sum = told.getKey().equals(peer) ? sum : sum.plus(told.getValue().work());
         }
@@ -160,7 +160,7 @@
 
     private double[] wanted(int workers) {
         peers.values().removeIf(told -> lastNanos - told.atNanos() > KEPT_NANOS);
-        PaceWork sum = without("");
+        LatencyClassWork sum = without("");
         double total = sum.total();
         return Arrays.stream(sum.millis())
                 .map(each -> each < LEAST_SHARE * total ? 0 : workers * each / total)
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/PaceWork.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClassWork.java
@@ -7,26 +7,26 @@
  *
  * @param millis by the ordinal of the pace
  */
-public record PaceWork(double[] millis) {
+public record LatencyClassWork(double[] millis) {
     /** No work at all. */
-    public static PaceWork none() {
-        return new PaceWork(new double[Pace.values().length]);
+    public static LatencyClassWork none() {
+        return new LatencyClassWork(new double[Pace.values().length]);
     }
 
-    PaceWork plus(PaceWork other) {
+    LatencyClassWork plus(LatencyClassWork other) {
         double[] sum = new double[millis.length];
         Arrays.setAll(sum, i -> millis[i] + other.millis[i]);
-        return new PaceWork(sum);
+        return new LatencyClassWork(sum);
     }
 
-    PaceWork faded(double factor) {
-        return new PaceWork(Arrays.stream(millis).map(each -> each * factor).toArray());
+    LatencyClassWork faded(double factor) {
+        return new LatencyClassWork(Arrays.stream(millis).map(each -> each * factor).toArray());
     }
 
-    PaceWork with(Pace pace, double more) {
+    LatencyClassWork with(Pace pace, double more) {
         double[] changed = millis.clone();
         changed[pace.ordinal()] += more;
-        return new PaceWork(changed);
+        return new LatencyClassWork(changed);
     }
 
     double total() {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSplitTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSplitTest.java
@@ -77,7 +77,7 @@
     @Test
     void aPeerThatHasGoneSilentNoLongerCounts() {
         EngineSplit split = new EngineSplit();
-        split.peer("gone", true, new PaceWork(new double[] {1_000_000, 0, 0}), SECOND);
+        split.peer("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
         EngineSplit.Range before = split.range(Pace.SHORT_PAUSES, 12);
         split.arrived(prompt(Pace.PATIENT), 20 * SECOND);
         assertThat(split.range(Pace.SHORT_PAUSES, 12).to()).isLessThan(before.to());
@@ -90,8 +90,8 @@
     void aCollectorsSumForAPeerLacksThatPeersOwnWork() {
         EngineSplit collector = new EngineSplit();
         double own = collector.own().total();
-        collector.peer("reporter", true, new PaceWork(new double[] {7, 0, 0}), SECOND);
-        collector.peer("other collector", false, new PaceWork(new double[] {0, 5, 0}), SECOND);
+        collector.peer("reporter", true, new LatencyClassWork(new double[] {7, 0, 0}), SECOND);
+        collector.peer("other collector", false, new LatencyClassWork(new double[] {0, 5, 0}), SECOND);
         assertThat(collector.gathered().total()).isEqualTo(own + 7);
         assertThat(collector.without("reporter").total()).isEqualTo(own + 5);
         assertThat(collector.without("other collector").total()).isEqualTo(own + 7);
