--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
@@ -18,7 +18,7 @@
 import org.dotterelcourse.gateway.routing.Route;
 import org.dotterelcourse.gateway.routing.RoutingTable;
 import org.dotterelcourse.gateway.routing.UpstreamSpec;
-import org.dotterelcourse.policy.selection.Pace;
+import org.dotterelcourse.policy.selection.LatencyClass;
 import org.dotterelcourse.policy.selection.Prompt;
 
 /** Decides by the routing table whether a request is let in, and as what. */
@@ -98,7 +98,7 @@
         UpstreamSpec upstream = table.upstream(route.upstreamFor(id));
         Optional<Prompt> prompt = upstream.engine()
                 ? dialect.prompt(
-                        headers, Pace.of(route.gapTargetMillis(), route.targetMillis(), upstream.tokensPerEvent()))
+                        headers, LatencyClass.of(route.gapTargetMillis(), route.targetMillis(), upstream.tokensPerEvent()))
                 : Optional.empty();
         long waits = dialect.waitMillis(headers).orElse(route.timeoutMillis());
         long bound = Math.min(waits, route.timeoutMillis());
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -5,7 +5,7 @@
 import java.util.OptionalLong;
 
 import io.netty.handler.codec.http.HttpHeaders;
-import org.dotterelcourse.policy.selection.Pace;
+import org.dotterelcourse.policy.selection.LatencyClass;
 import org.dotterelcourse.policy.selection.Prompt;
 
 /** How clients and workers spell what the router needs to know and to tell. */
@@ -41,7 +41,7 @@
      * @param pace what the route's streams must not be held up by
      * @return the prompt; empty if the request tells of none
      */
-    Optional<Prompt> prompt(HttpHeaders headers, Pace pace);
+    Optional<Prompt> prompt(HttpHeaders headers, LatencyClass pace);
 
     /**
      * Whether only the router may set a header, so that a client's own is dropped.
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -9,7 +9,7 @@
 import org.dotterelcourse.gateway.GatewayState;
 import org.dotterelcourse.policy.line.Waiter;
 import org.dotterelcourse.policy.line.WaitingLine;
-import org.dotterelcourse.policy.selection.Pace;
+import org.dotterelcourse.policy.selection.LatencyClass;
 import org.dotterelcourse.policy.selection.Prompt;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
@@ -82,7 +82,7 @@
 
     /** Whether a call's first event may come later than a long prompt is read. */
     static boolean patient(Call call) {
-        return call.terms().prompt().map(Prompt::pace).orElse(Pace.SOON) == Pace.PATIENT;
+        return call.terms().prompt().map(Prompt::pace).orElse(LatencyClass.SOON) == LatencyClass.PATIENT;
     }
 
     /** Places a call, at once or when it is its turn. */
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -15,7 +15,7 @@
 import org.dotterelcourse.policy.selection.EngineSelector;
 import org.dotterelcourse.policy.selection.EngineSplit;
 import org.dotterelcourse.policy.selection.LeastLoadedSelector;
-import org.dotterelcourse.policy.selection.Pace;
+import org.dotterelcourse.policy.selection.LatencyClass;
 import org.dotterelcourse.policy.selection.Prompt;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
@@ -145,14 +145,14 @@
         call.sending(worker.entry().id(), nowNanos);
         double prefill = prompt.prefillMillis(engine.cachedTokens());
         state.prefixes().sent(prompt, worker.entry().incarnation(), nowNanos);
-        if (prompt.pace() == Pace.PATIENT) {
+        if (prompt.pace() == LatencyClass.PATIENT) {
             model(call).placed(prefill, prompt.outputTokens());
         }
         String fetchFrom = engine.source()
                 .flatMap(state.workers()::find)
                 .map(source -> source.entry().address())
                 .orElse("");
-        boolean interactive = prompt.pace() == Pace.SHORT_PAUSES;
+        boolean interactive = prompt.pace() == LatencyClass.SHORT_PAUSES;
         return new Outcome.Placed(place(call, worker, interactive, prefill, nowNanos), fetchFrom);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Pace.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
@@ -6,7 +6,7 @@
  * <p>An engine reads prompts in chunks between the steps that make tokens. A chunk of a long prompt takes some 50 ms and
  * more; a whole one up to 1.6 s.
  */
-public enum Pace {
+public enum LatencyClass {
     /** Its pauses must be shorter than steps with a chunk of a long prompt are. */
     SHORT_PAUSES,
     /** Its first event must come sooner than a long prompt is read. */
@@ -32,7 +32,7 @@
      * @param tokensPerEvent how many tokens, one a step, an engine puts into one event
      * @return the pace
      */
-    public static Pace of(long gapTargetMillis, long firstEventMillis, int tokensPerEvent) {
+    public static LatencyClass of(long gapTargetMillis, long firstEventMillis, int tokensPerEvent) {
         if (gapTargetMillis > 0 && gapTargetMillis <= LONG_STEP_MILLIS * tokensPerEvent) {
             return SHORT_PAUSES;
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClassWork.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClassWork.java
@@ -10,7 +10,7 @@
 public record LatencyClassWork(double[] millis) {
     /** No work at all. */
     public static LatencyClassWork none() {
-        return new LatencyClassWork(new double[Pace.values().length]);
+        return new LatencyClassWork(new double[LatencyClass.values().length]);
     }
 
     LatencyClassWork plus(LatencyClassWork other) {
@@ -23,7 +23,7 @@
         return new LatencyClassWork(Arrays.stream(millis).map(each -> each * factor).toArray());
     }
 
-    LatencyClassWork with(Pace pace, double more) {
+    LatencyClassWork with(LatencyClass pace, double more) {
         double[] changed = millis.clone();
         changed[pace.ordinal()] += more;
         return new LatencyClassWork(changed);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Prompt.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Prompt.java
@@ -11,7 +11,7 @@
  * @param outputTokens the most tokens that the answer may have
  * @param pace what it must not be held up by
  */
-public record Prompt(List<Part> parts, int promptTokens, int outputTokens, Pace pace) {
+public record Prompt(List<Part> parts, int promptTokens, int outputTokens, LatencyClass pace) {
     /**
      * A part of a prompt that other prompts may share.
      *
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -27,7 +27,7 @@
     void processesThatKnowNothingOfEachOtherSendAPartToTheSameEngine() {
         List<WorkerLoad> engines = idle(ENGINES);
         for (int part = 0; part < 50; part++) {
-            Prompt prompt = prompt("part-" + part, Pace.PATIENT);
+            Prompt prompt = prompt("part-" + part, LatencyClass.PATIENT);
             String first = selector.select(prompt, engines, SECOND).orElseThrow();
             String second = selector(2, new CachedPrefixes())
                     .select(prompt, engines, SECOND)
@@ -39,10 +39,10 @@
     // A long prompt holds up every step of its engine by some 50 ms; a stream with short pauses beside it is late.
     @Test
     void longPromptsAndStreamsWithShortPausesDoNotMeet() {
-        Map<String, Pace> users = new HashMap<>();
+        Map<String, LatencyClass> users = new HashMap<>();
         List<WorkerLoad> engines = idle(ENGINES);
         for (int i = 0; i < 200; i++) {
-            Pace pace = i % 2 == 0 ? Pace.PATIENT : Pace.SHORT_PAUSES;
+            LatencyClass pace = i % 2 == 0 ? LatencyClass.PATIENT : LatencyClass.SHORT_PAUSES;
             String engine =
                     selector.select(prompt("p" + i, pace), engines, SECOND).orElseThrow();
             assertThat(users.putIfAbsent(engine, pace)).isIn(null, pace);
@@ -58,7 +58,7 @@
         WorkerLoad suspect = engines.get(5);
         oneSuspected.set(5, load(suspect.id(), suspect.address(), 0, 0, true));
         for (int part = 0; part < 50; part++) {
-            Prompt prompt = prompt("part-" + part, Pace.PATIENT);
+            Prompt prompt = prompt("part-" + part, LatencyClass.PATIENT);
             String before = selector.select(prompt, engines, SECOND).orElseThrow();
             String after = selector.select(prompt, oneSuspected, SECOND).orElseThrow();
             if (before.equals(suspect.id())) {
@@ -76,7 +76,7 @@
         List<WorkerLoad> restarted = new ArrayList<>(engines);
         restarted.set(7, load("another-name", engines.get(7).address(), 0, 0, false));
         for (int part = 0; part < 50; part++) {
-            Prompt prompt = prompt("part-" + part, Pace.PATIENT);
+            Prompt prompt = prompt("part-" + part, LatencyClass.PATIENT);
             String before = selector.select(prompt, engines, SECOND).orElseThrow();
             String after = selector.select(prompt, restarted, SECOND).orElseThrow();
             assertThat(after).isEqualTo(before.equals(engines.get(7).id()) ? "another-name" : before);
@@ -87,7 +87,7 @@
     @Test
     void aPartWhoseEngineIsFarBehindIsReadAgainElsewhere() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", Pace.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.PATIENT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         List<WorkerLoad> busy = engines.stream()
                 .map(each -> each.id().equals(home) ? load(home, each.address(), 20, 3_000, false) : each)
@@ -106,7 +106,7 @@
             List<WorkerLoad> behind = idle(60).stream()
                     .map(each -> load(each.id(), each.address(), 5, random.nextInt(3_000), false))
                     .toList();
-            Prompt prompt = prompt("new", Pace.PATIENT);
+            Prompt prompt = prompt("new", LatencyClass.PATIENT);
             readers.add(selector.select(prompt, behind, SECOND).orElseThrow());
         }
         assertThat(readers).hasSizeLessThanOrEqualTo(3);
@@ -118,7 +118,7 @@
     @Test
     void aPartThatWasReadIsUsedAlsoWhereItsEngineIsForAnotherPaceNow() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("part", Pace.PATIENT);
+        Prompt prompt = prompt("part", LatencyClass.PATIENT);
         String first = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, first.hashCode(), SECOND);
         EngineSplit changed = new EngineSplit();
@@ -130,14 +130,14 @@
     @Test
     void suspectedEnginesAreUsedWhereThereAreNoOthers() {
         List<WorkerLoad> engines = List.of(load("a", "10.0.0.1:1", 0, 0, true), load("b", "10.0.0.2:1", 0, 0, true));
-        assertThat(selector.select(prompt("p", Pace.SOON), engines, SECOND)).isPresent();
-        assertThat(selector.select(prompt("p", Pace.SOON), List.of(), SECOND)).isEmpty();
+        assertThat(selector.select(prompt("p", LatencyClass.SOON), engines, SECOND)).isPresent();
+        assertThat(selector.select(prompt("p", LatencyClass.SOON), List.of(), SECOND)).isEmpty();
     }
 
     @Test
     void aPromptGoesWhereItsPartsHaveBeenReadThoughThatIsNotTheirHome() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("part", Pace.SOON);
+        Prompt prompt = prompt("part", LatencyClass.SOON);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, home.hashCode(), SECOND);
         assertThat(prefixes.cachedTokens(prompt, home.hashCode(), 2 * SECOND)).isEqualTo(13_000);
@@ -149,7 +149,7 @@
     @Test
     void anIdleEngineFetchesWhatABusyOneHasRead() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", Pace.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.PATIENT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, home.hashCode(), SECOND);
         List<WorkerLoad> busy = withLoad(engines, home, 20, 3_000, false);
@@ -165,7 +165,7 @@
     @Test
     void nothingIsFetchedThatMayNotHaveBeenReadYet() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", Pace.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.PATIENT);
         prefixes.sent(prompt, engines.get(0).incarnation(), 3 * SECOND);
         List<WorkerLoad> busy = withLoad(engines, engines.get(0).id(), 20, 3_000, false);
         assertThat(source(prompt, busy, 3 * SECOND + SECOND / 10)).isEmpty();
@@ -176,7 +176,7 @@
     @Test
     void nothingIsFetchedFromASuspectedEngine() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", Pace.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.PATIENT);
         prefixes.sent(prompt, engines.get(0).incarnation(), SECOND);
         List<WorkerLoad> suspected = withLoad(engines, engines.get(0).id(), 0, 0, true);
         assertThat(source(prompt, suspected, 3 * SECOND)).isEmpty();
@@ -185,7 +185,7 @@
     @Test
     void aPartIsUsedWhereItIsRatherThanFetchedWhileNobodyWaitsThere() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("part", Pace.PATIENT);
+        Prompt prompt = prompt("part", LatencyClass.PATIENT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, home.hashCode(), SECOND);
         assertThat(fetching().choose(prompt, engines, Integer.MAX_VALUE, 3 * SECOND))
@@ -197,7 +197,7 @@
 
     @Test
     void onlyEnginesWithRoomAreChosenAndFullOnesAreToldApartFromNone() {
-        Prompt prompt = prompt("p", Pace.PATIENT);
+        Prompt prompt = prompt("p", LatencyClass.PATIENT);
         List<WorkerLoad> full = idle(ENGINES).stream()
                 .map(each -> load(each.id(), each.address(), 20, 0, false))
                 .toList();
@@ -234,7 +234,7 @@
     void aClosedEngineGetsNothingAndKeepsItsPlaceAmongTheOthers() {
         List<WorkerLoad> open = idle(9);
         for (int i = 0; i < 40; i++) {
-            Prompt prompt = prompt("part-" + i, Pace.PATIENT);
+            Prompt prompt = prompt("part-" + i, LatencyClass.PATIENT);
             String home =
                     selector(1, new CachedPrefixes()).select(prompt, open, 0).orElseThrow();
             String other = selector(1, new CachedPrefixes())
@@ -246,7 +246,7 @@
             }
         }
         assertThat(selector(1, new CachedPrefixes())
-                        .choose(prompt("p", Pace.SOON), closed(idle(1), "engine-0"), Integer.MAX_VALUE, 0))
+                        .choose(prompt("p", LatencyClass.SOON), closed(idle(1), "engine-0"), Integer.MAX_VALUE, 0))
                 .isInstanceOf(SelectionResult.NoRoom.class);
     }
 
@@ -274,7 +274,7 @@
         return new EngineSelector("dc", cached, split, TransferCost.none(), new Random(seed));
     }
 
-    private static Prompt prompt(String part, Pace pace) {
+    private static Prompt prompt(String part, LatencyClass pace) {
         return new Prompt(
                 List.of(new Prompt.Part(part, 13_000), new Prompt.Part(part + "-own", 1_000)), 14_000, 100, pace);
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSplitTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSplitTest.java
@@ -19,13 +19,13 @@
             @ForAll @IntRange(max = 50) int patient) {
         EngineSplit split = new EngineSplit();
         for (int i = 0; i < soon; i++) {
-            split.arrived(prompt(Pace.SOON), i * SECOND / 10);
+            split.arrived(prompt(LatencyClass.SOON), i * SECOND / 10);
         }
         for (int i = 0; i < patient; i++) {
-            split.arrived(prompt(Pace.PATIENT), (soon + i) * SECOND / 10);
+            split.arrived(prompt(LatencyClass.PATIENT), (soon + i) * SECOND / 10);
         }
         int next = 0;
-        for (Pace pace : Pace.values()) {
+        for (LatencyClass pace : LatencyClass.values()) {
             EngineSplit.Range range = split.range(pace, engines);
             if (range.to() - range.from() < engines) {
                 assertThat(range.from()).isEqualTo(next);
@@ -42,21 +42,21 @@
     void aSmallChangeOfTheMixMovesNothing() {
         EngineSplit split = new EngineSplit();
         for (int i = 0; i < 60; i++) {
-            split.arrived(prompt(Pace.values()[i % 3]), 1_000 * SECOND);
+            split.arrived(prompt(LatencyClass.values()[i % 3]), 1_000 * SECOND);
         }
-        EngineSplit.Range before = split.range(Pace.PATIENT, 12);
-        split.arrived(prompt(Pace.SHORT_PAUSES), 1_000 * SECOND);
-        split.arrived(prompt(Pace.SHORT_PAUSES), 1_000 * SECOND);
-        assertThat(split.range(Pace.PATIENT, 12)).isEqualTo(before);
+        EngineSplit.Range before = split.range(LatencyClass.PATIENT, 12);
+        split.arrived(prompt(LatencyClass.SHORT_PAUSES), 1_000 * SECOND);
+        split.arrived(prompt(LatencyClass.SHORT_PAUSES), 1_000 * SECOND);
+        assertThat(split.range(LatencyClass.PATIENT, 12)).isEqualTo(before);
     }
 
     // A process has just started. Its first request must not decide alone, or all engines would be for its pace.
     @Test
     void theFirstRequestOfAProcessDoesNotTakeAllEngines() {
         EngineSplit split = new EngineSplit();
-        split.arrived(prompt(Pace.SHORT_PAUSES), 1_000_000 * SECOND);
-        assertThat(split.range(Pace.SHORT_PAUSES, 12).to()).isLessThan(6);
-        assertThat(split.range(Pace.PATIENT, 12).from()).isLessThan(9);
+        split.arrived(prompt(LatencyClass.SHORT_PAUSES), 1_000_000 * SECOND);
+        assertThat(split.range(LatencyClass.SHORT_PAUSES, 12).to()).isLessThan(6);
+        assertThat(split.range(LatencyClass.PATIENT, 12).from()).isLessThan(9);
     }
 
     @Test
@@ -64,12 +64,12 @@
         EngineSplit one = new EngineSplit();
         EngineSplit other = new EngineSplit();
         for (int i = 0; i < 100; i++) {
-            one.arrived(prompt(Pace.PATIENT), SECOND);
-            other.arrived(prompt(Pace.SHORT_PAUSES), SECOND);
+            one.arrived(prompt(LatencyClass.PATIENT), SECOND);
+            other.arrived(prompt(LatencyClass.SHORT_PAUSES), SECOND);
         }
         one.peer("other", true, other.own(), SECOND);
         other.peer("one", true, one.own(), SECOND);
-        for (Pace pace : Pace.values()) {
+        for (LatencyClass pace : LatencyClass.values()) {
             assertThat(other.range(pace, 12)).isEqualTo(one.range(pace, 12));
         }
     }
@@ -78,9 +78,9 @@
     void aPeerThatHasGoneSilentNoLongerCounts() {
         EngineSplit split = new EngineSplit();
         split.peer("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
-        EngineSplit.Range before = split.range(Pace.SHORT_PAUSES, 12);
-        split.arrived(prompt(Pace.PATIENT), 20 * SECOND);
-        assertThat(split.range(Pace.SHORT_PAUSES, 12).to()).isLessThan(before.to());
+        EngineSplit.Range before = split.range(LatencyClass.SHORT_PAUSES, 12);
+        split.arrived(prompt(LatencyClass.PATIENT), 20 * SECOND);
+        assertThat(split.range(LatencyClass.SHORT_PAUSES, 12).to()).isLessThan(before.to());
     }
 
     // A collector adds up for its reporters. If a process's own work came back to it in that sum, each round would
@@ -100,23 +100,23 @@
     @Test
     void fewEnginesAreSharedByAll() {
         EngineSplit split = new EngineSplit();
-        assertThat(split.range(Pace.PATIENT, 1)).isEqualTo(new EngineSplit.Range(0, 1));
-        assertThat(split.range(Pace.SHORT_PAUSES, 2)).isEqualTo(new EngineSplit.Range(0, 1));
-        assertThat(split.range(Pace.SOON, 2)).isEqualTo(new EngineSplit.Range(1, 2));
+        assertThat(split.range(LatencyClass.PATIENT, 1)).isEqualTo(new EngineSplit.Range(0, 1));
+        assertThat(split.range(LatencyClass.SHORT_PAUSES, 2)).isEqualTo(new EngineSplit.Range(0, 1));
+        assertThat(split.range(LatencyClass.SOON, 2)).isEqualTo(new EngineSplit.Range(1, 2));
     }
 
     @Test
     void thePaceFollowsFromTheTargets() {
-        assertThat(Pace.of(120, 500, 2)).isEqualTo(Pace.SHORT_PAUSES);
-        assertThat(Pace.of(200, 800, 2)).isEqualTo(Pace.SOON);
-        assertThat(Pace.of(500, 2_500, 2)).isEqualTo(Pace.PATIENT);
-        assertThat(Pace.of(0, 100, 1)).isEqualTo(Pace.SOON);
+        assertThat(LatencyClass.of(120, 500, 2)).isEqualTo(LatencyClass.SHORT_PAUSES);
+        assertThat(LatencyClass.of(200, 800, 2)).isEqualTo(LatencyClass.SOON);
+        assertThat(LatencyClass.of(500, 2_500, 2)).isEqualTo(LatencyClass.PATIENT);
+        assertThat(LatencyClass.of(0, 100, 1)).isEqualTo(LatencyClass.SOON);
         // Four tokens an event, which an engine that reads a prompt of 30,000 tokens makes in 292 ms.
-        assertThat(Pace.of(250, 500, 4)).isEqualTo(Pace.SHORT_PAUSES);
-        assertThat(Pace.of(300, 800, 4)).isEqualTo(Pace.SOON);
+        assertThat(LatencyClass.of(250, 500, 4)).isEqualTo(LatencyClass.SHORT_PAUSES);
+        assertThat(LatencyClass.of(300, 800, 4)).isEqualTo(LatencyClass.SOON);
     }
 
-    private static Prompt prompt(Pace pace) {
+    private static Prompt prompt(LatencyClass pace) {
         return new Prompt(List.of(new Prompt.Part("own", 9_000)), 9_000, 100, pace);
     }
 }
