--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -22,7 +22,7 @@
 import org.dotterelcourse.policy.repeat.RepeatBudget;
 import org.dotterelcourse.policy.selection.CachedPrefixes;
 import org.dotterelcourse.policy.selection.EngineModel;
-import org.dotterelcourse.policy.selection.EngineSplit;
+import org.dotterelcourse.policy.selection.EnginePartition;
 
 /** What the gateway believes: the routing table in force, the workers, the budgets. Used on the gateway's loop only. */
 public final class GatewayState implements Service {
@@ -31,7 +31,7 @@
 
     private final Workers workers = new Workers();
     private final Map<String, RepeatBudget> budgets = new HashMap<>();
-    private final Map<String, EngineSplit> splits = new HashMap<>();
+    private final Map<String, EnginePartition> splits = new HashMap<>();
     private final Map<String, EngineModel> models = new HashMap<>();
     private final RequestQuarantine quarantine = new RequestQuarantine();
     private final CachedPrefixes prefixes = new CachedPrefixes();
@@ -188,8 +188,8 @@
      * @param upstream its name
      * @return its split
      */
-    public EngineSplit split(String upstream) {
-        return splits.computeIfAbsent(upstream, name -> new EngineSplit());
+    public EnginePartition split(String upstream) {
+        return splits.computeIfAbsent(upstream, name -> new EnginePartition());
     }
 
     /**
@@ -276,7 +276,7 @@
      *
      * @return by the upstream's name
      */
-    public Map<String, EngineSplit> splits() {
+    public Map<String, EnginePartition> splits() {
         return splits;
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -13,7 +13,7 @@
 import org.dotterelcourse.policy.selection.SelectionResult;
 import org.dotterelcourse.policy.selection.EngineModel;
 import org.dotterelcourse.policy.selection.EngineSelector;
-import org.dotterelcourse.policy.selection.EngineSplit;
+import org.dotterelcourse.policy.selection.EnginePartition;
 import org.dotterelcourse.policy.selection.LeastLoadedSelector;
 import org.dotterelcourse.policy.selection.LatencyClass;
 import org.dotterelcourse.policy.selection.Prompt;
@@ -156,7 +156,7 @@
         return new Outcome.Placed(place(call, worker, interactive, prefill, nowNanos), fetchFrom);
     }
 
-    private EngineSplit split(Call call) {
+    private EnginePartition split(Call call) {
         return state.split(call.terms().upstream().name());
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSplit.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -11,7 +11,7 @@
  * <p>It answers a mix that changes through the day. With fixed splits, one of them is idle while the other queues; with
  * none, each long prompt delays interactive streams.
  */
-public final class EngineSplit {
+public final class EnginePartition {
     /** Short enough to follow the hours of a day, and longer than a burst, which would move the split to and fro. */
     private static final double HALF_LIFE_NANOS = 30e9;
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -86,7 +86,7 @@
 
     private final String dataCentre;
     private final CachedPrefixes prefixes;
-    private final EngineSplit split;
+    private final EnginePartition split;
     private final TransferCost transfer;
     private final RandomGenerator random;
 
@@ -100,7 +100,7 @@
      * @param random breaks ties
      */
     public EngineSelector(
-            String dataCentre, CachedPrefixes prefixes, EngineSplit split, TransferCost transfer, RandomGenerator random) {
+            String dataCentre, CachedPrefixes prefixes, EnginePartition split, TransferCost transfer, RandomGenerator random) {
         this.dataCentre = dataCentre;
         this.prefixes = prefixes;
         this.split = split;
@@ -130,7 +130,7 @@
         List<WorkerLoad> ranked = new ArrayList<>(workers);
         ranked.sort(Comparator.comparingInt((WorkerLoad each) -> Ranks.mix(each.address()))
                 .thenComparing(WorkerLoad::id));
-        EngineSplit.Range range = split.range(prompt.pace(), ranked.size());
+        EnginePartition.Range range = split.range(prompt.pace(), ranked.size());
         // Processes suspect different engines at different times; ranks and splits must not follow that, or their homes
         // would differ for every part.
         List<String> homes = homes(prompt, ranked.subList(range.from(), range.to()), anySound);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSplitTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -9,7 +9,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class EngineSplitTest {
+class EnginePartitionTest {
     private static final long SECOND = 1_000_000_000L;
 
     @Property(tries = 300, seed = "7")
@@ -17,7 +17,7 @@
             @ForAll @IntRange(min = 3, max = 200) int engines,
             @ForAll @IntRange(max = 50) int soon,
             @ForAll @IntRange(max = 50) int patient) {
-        EngineSplit split = new EngineSplit();
+        EnginePartition split = new EnginePartition();
         for (int i = 0; i < soon; i++) {
             split.arrived(prompt(LatencyClass.SOON), i * SECOND / 10);
         }
@@ -26,7 +26,7 @@
         }
         int next = 0;
         for (LatencyClass pace : LatencyClass.values()) {
-            EngineSplit.Range range = split.range(pace, engines);
+            EnginePartition.Range range = split.range(pace, engines);
             if (range.to() - range.from() < engines) {
                 assertThat(range.from()).isEqualTo(next);
                 assertThat(range.to()).isGreaterThan(range.from());
@@ -40,11 +40,11 @@
     // cause that.
     @Test
     void aSmallChangeOfTheMixMovesNothing() {
-        EngineSplit split = new EngineSplit();
+        EnginePartition split = new EnginePartition();
         for (int i = 0; i < 60; i++) {
             split.arrived(prompt(LatencyClass.values()[i % 3]), 1_000 * SECOND);
         }
-        EngineSplit.Range before = split.range(LatencyClass.PATIENT, 12);
+        EnginePartition.Range before = split.range(LatencyClass.PATIENT, 12);
         split.arrived(prompt(LatencyClass.SHORT_PAUSES), 1_000 * SECOND);
         split.arrived(prompt(LatencyClass.SHORT_PAUSES), 1_000 * SECOND);
         assertThat(split.range(LatencyClass.PATIENT, 12)).isEqualTo(before);
@@ -53,7 +53,7 @@
     // A process has just started. Its first request must not decide alone, or all engines would be for its pace.
     @Test
     void theFirstRequestOfAProcessDoesNotTakeAllEngines() {
-        EngineSplit split = new EngineSplit();
+        EnginePartition split = new EnginePartition();
         split.arrived(prompt(LatencyClass.SHORT_PAUSES), 1_000_000 * SECOND);
         assertThat(split.range(LatencyClass.SHORT_PAUSES, 12).to()).isLessThan(6);
         assertThat(split.range(LatencyClass.PATIENT, 12).from()).isLessThan(9);
@@ -61,8 +61,8 @@
 
     @Test
     void processesThatHearOfEachOtherSplitAlike() {
-        EngineSplit one = new EngineSplit();
-        EngineSplit other = new EngineSplit();
+        EnginePartition one = new EnginePartition();
+        EnginePartition other = new EnginePartition();
         for (int i = 0; i < 100; i++) {
             one.arrived(prompt(LatencyClass.PATIENT), SECOND);
             other.arrived(prompt(LatencyClass.SHORT_PAUSES), SECOND);
@@ -76,9 +76,9 @@
 
     @Test
     void aPeerThatHasGoneSilentNoLongerCounts() {
-        EngineSplit split = new EngineSplit();
+        EnginePartition split = new EnginePartition();
         split.peer("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
-        EngineSplit.Range before = split.range(LatencyClass.SHORT_PAUSES, 12);
+        EnginePartition.Range before = split.range(LatencyClass.SHORT_PAUSES, 12);
         split.arrived(prompt(LatencyClass.PATIENT), 20 * SECOND);
         assertThat(split.range(LatencyClass.SHORT_PAUSES, 12).to()).isLessThan(before.to());
     }
@@ -88,7 +88,7 @@
     // it once more.
     @Test
     void aCollectorsSumForAPeerLacksThatPeersOwnWork() {
-        EngineSplit collector = new EngineSplit();
+        EnginePartition collector = new EnginePartition();
         double own = collector.own().total();
         collector.peer("reporter", true, new LatencyClassWork(new double[] {7, 0, 0}), SECOND);
         collector.peer("other collector", false, new LatencyClassWork(new double[] {0, 5, 0}), SECOND);
@@ -99,10 +99,10 @@
 
     @Test
     void fewEnginesAreSharedByAll() {
-        EngineSplit split = new EngineSplit();
-        assertThat(split.range(LatencyClass.PATIENT, 1)).isEqualTo(new EngineSplit.Range(0, 1));
-        assertThat(split.range(LatencyClass.SHORT_PAUSES, 2)).isEqualTo(new EngineSplit.Range(0, 1));
-        assertThat(split.range(LatencyClass.SOON, 2)).isEqualTo(new EngineSplit.Range(1, 2));
+        EnginePartition split = new EnginePartition();
+        assertThat(split.range(LatencyClass.PATIENT, 1)).isEqualTo(new EnginePartition.Range(0, 1));
+        assertThat(split.range(LatencyClass.SHORT_PAUSES, 2)).isEqualTo(new EnginePartition.Range(0, 1));
+        assertThat(split.range(LatencyClass.SOON, 2)).isEqualTo(new EnginePartition.Range(1, 2));
     }
 
     @Test
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -18,7 +18,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     private final CachedPrefixes prefixes = new CachedPrefixes();
-    private final EngineSplit split = new EngineSplit();
+    private final EnginePartition split = new EnginePartition();
     private final EngineSelector selector = selector(1, prefixes);
 
     // Eight processes route prompts that begin with the same long part. If each had an engine of its own for it, eight
@@ -121,7 +121,7 @@
         Prompt prompt = prompt("part", LatencyClass.PATIENT);
         String first = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, first.hashCode(), SECOND);
-        EngineSplit changed = new EngineSplit();
+        EnginePartition changed = new EnginePartition();
         changed.peer("peer", true, new LatencyClassWork(new double[] {20_000, 20_000, 1_000}), SECOND);
         EngineSelector after = new EngineSelector("dc", prefixes, changed, TransferCost.none(), new Random(3));
         assertThat(after.select(prompt, engines, 2 * SECOND)).contains(first);
