--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -135,7 +135,7 @@
     }
 
     /**
-     * Ranks of engines.
+     * RankHash of engines.
      *
      * @param from the first
      * @param to the one after the last
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -128,7 +128,7 @@
     public SelectionResult choose(Prompt prompt, List<WorkerLoad> workers, int mostStreams, long nowNanos) {
         boolean anySound = workers.stream().anyMatch(each -> each.open() && !each.suspected());
         List<WorkerLoad> ranked = new ArrayList<>(workers);
-        ranked.sort(Comparator.comparingInt((WorkerLoad each) -> Ranks.mix(each.address()))
+        ranked.sort(Comparator.comparingInt((WorkerLoad each) -> RankHash.mix(each.address()))
                 .thenComparing(WorkerLoad::id));
         EnginePartition.Range range = split.range(prompt.pace(), ranked.size());
         // Processes suspect different engines at different times; ranks and splits must not follow that, or their homes
@@ -235,7 +235,7 @@
         int hash = part.get().id().hashCode();
         return inSplit.stream()
                 .filter(each -> !anySound || !each.suspected())
-                .sorted(Comparator.comparingInt((WorkerLoad each) -> Ranks.mix(hash, each.address()))
+                .sorted(Comparator.comparingInt((WorkerLoad each) -> RankHash.mix(hash, each.address()))
                         .reversed())
                 .limit(HOMES)
                 .map(WorkerLoad::id)
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Ranks.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/RankHash.java
@@ -1,13 +1,13 @@
 package org.dotterelcourse.policy.selection;
 
 /** The order in which every process ranks names, the same in all of them. */
-final class Ranks {
+final class RankHash {
     private static final int SEED = 0x9747b28c;
     private static final int FACTOR = 0x5bd1e995;
     private static final int SHIFT_UP = 13;
     private static final int SHIFT_DOWN = 15;
 
-    private Ranks() {}
+    private RankHash() {}
 
     /**
      * Mixes a name's hash, by the finishing steps of MurmurHash2: {@link String#hashCode()} alone keeps names that
