--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalDouble;
 
-import org.dotterelcourse.policy.cold.ColdPeriod;
+import org.dotterelcourse.policy.cold.ColdStartTracker;
 import org.dotterelcourse.policy.cold.ColdStart;
 import org.dotterelcourse.policy.rate.RateShare;
 import org.dotterelcourse.policy.rate.SentWindow;
@@ -17,7 +17,7 @@
     private final WorkerTrust trust = new WorkerTrust();
     private final RecentOutcomes outcomes = new RecentOutcomes();
     private final SharedSuspicion sharedSuspicion = new SharedSuspicion();
-    private final ColdPeriod coldPeriod = new ColdPeriod();
+    private final ColdStartTracker coldPeriod = new ColdStartTracker();
     private final SentWindow sent = new SentWindow();
     private final int incarnation;
     private final long order;
@@ -85,7 +85,7 @@
                 outcomes.failedLately(nowNanos));
     }
 
-    ColdPeriod coldPeriod() {
+    ColdStartTracker coldPeriod() {
         return coldPeriod;
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdPeriod.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
@@ -8,7 +8,7 @@
  * worker that could not be reached, or that broke its requests, is probably a new process when it answers again; and
  * the workers of a data centre that was evacuated are cold when it is taken back.
  */
-public final class ColdPeriod {
+public final class ColdStartTracker {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private boolean told;
