--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -8,13 +8,13 @@
 import org.dotterelcourse.policy.rate.SentWindow;
 import org.dotterelcourse.policy.repeat.RecentOutcomes;
 import org.dotterelcourse.policy.repeat.SharedSuspicion;
-import org.dotterelcourse.policy.repeat.WorkerTrust;
+import org.dotterelcourse.policy.repeat.LocalSuspicion;
 import org.dotterelcourse.policy.selection.SendPermission;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
 /** One worker with what this process and its peers have there. Used on the gateway's loop only. */
 public final class WorkerState {
-    private final WorkerTrust trust = new WorkerTrust();
+    private final LocalSuspicion trust = new LocalSuspicion();
     private final RecentOutcomes outcomes = new RecentOutcomes();
     private final SharedSuspicion sharedSuspicion = new SharedSuspicion();
     private final ColdStartTracker coldPeriod = new ColdStartTracker();
@@ -68,7 +68,7 @@
         others = load;
     }
 
-    WorkerTrust trust() {
+    LocalSuspicion trust() {
         return trust;
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WorkerTrust.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
@@ -8,7 +8,7 @@
  * left out after some failures in a row, longer each time, and one success ends it. That others are there to take the
  * load is for the selectors to see: they fall back to suspected workers when there are no others.
  */
-public final class WorkerTrust {
+public final class LocalSuspicion {
     private static final long MILLISECOND = 1_000_000L;
 
     /** A single refused connection or reset may be chance; two in a row from one worker are rarely. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
@@ -3,7 +3,7 @@
 /**
  * How requests at one worker lately ended, as counts that fade by half in each half-life.
  *
- * <p>Counts of several processes can be added up, which the averages of {@link WorkerTrust} can't. It answers a large
+ * <p>Counts of several processes can be added up, which the averages of {@link LocalSuspicion} can't. It answers a large
  * fleet, where each process sends a worker a request every ten seconds or so: alone, it would find a failing worker only
  * after half a minute.
  */
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WorkerTrustTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
@@ -4,10 +4,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class WorkerTrustTest {
+class LocalSuspicionTest {
     private static final long SECOND = 1_000_000_000L;
 
-    private final WorkerTrust trust = new WorkerTrust();
+    private final LocalSuspicion trust = new LocalSuspicion();
 
     @Test
     void oneFailureMayBeChance() {
