--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -19,7 +19,7 @@
 import org.dotterelcourse.policy.quarantine.RequestQuarantine;
 import org.dotterelcourse.policy.rate.LimitNotice;
 import org.dotterelcourse.policy.rate.WorkerLimits;
-import org.dotterelcourse.policy.repeat.RepeatBudget;
+import org.dotterelcourse.policy.repeat.WindowedRetryBudget;
 import org.dotterelcourse.policy.selection.CachedPrefixes;
 import org.dotterelcourse.policy.selection.EngineModel;
 import org.dotterelcourse.policy.selection.EnginePartition;
@@ -30,7 +30,7 @@
     public static final ServiceName<GatewayState> NAME = new ServiceName<>("gateway-state", GatewayState.class);
 
     private final Workers workers = new Workers();
-    private final Map<String, RepeatBudget> budgets = new HashMap<>();
+    private final Map<String, WindowedRetryBudget> budgets = new HashMap<>();
     private final Map<String, EnginePartition> splits = new HashMap<>();
     private final Map<String, EngineModel> models = new HashMap<>();
     private final RequestQuarantine quarantine = new RequestQuarantine();
@@ -174,9 +174,9 @@
      * @param upstream its name
      * @return this process's part
      */
-    public RepeatBudget budget(String upstream) {
+    public WindowedRetryBudget budget(String upstream) {
         return budgets.computeIfAbsent(upstream, name -> {
-            RepeatBudget budget = new RepeatBudget(limit.ratio(), limit.extra(), limit.windowNanos());
+            WindowedRetryBudget budget = new WindowedRetryBudget(limit.ratio(), limit.extra(), limit.windowNanos());
             budget.processes(processes);
             return budget;
         });
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RepeatBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WindowedRetryBudget.java
@@ -11,7 +11,7 @@
  * keeps the upstream down. The parts add up to the fleet's budget whatever the processes know of each other, because
  * each counts its own requests and divides the fixed number by the largest fleet that it has seen.
  */
-public final class RepeatBudget {
+public final class WindowedRetryBudget {
     /** Part of the budget that is used, so that a process that has restarted and counts anew stays within it. */
     private static final double USED = 0.8;
 
@@ -29,7 +29,7 @@
      * @param extra repeats of the whole fleet in a window beside these
      * @param windowNanos the window's length
      */
-    public RepeatBudget(double ratio, double extra, long windowNanos) {
+    public WindowedRetryBudget(double ratio, double extra, long windowNanos) {
         this.ratio = ratio;
         this.extra = extra;
         this.windowNanos = windowNanos;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RepeatBudgetTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
@@ -11,7 +11,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RepeatBudgetTest {
+class WindowedRetryBudgetTest {
     private static final long SECOND = 1_000_000_000L;
     private static final double RATIO = 0.2;
     private static final int EXTRA = 20;
@@ -22,9 +22,9 @@
     void aFleetStaysWithinItsBudgetInEveryWindow(
             @ForAll @IntRange(min = 1, max = 8) int processes,
             @ForAll @Size(min = 1, max = 300) List<@IntRange(max = 400) Integer> gapsMillis) {
-        List<RepeatBudget> fleet = new ArrayList<>();
+        List<WindowedRetryBudget> fleet = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
-            RepeatBudget budget = new RepeatBudget(RATIO, EXTRA, 10 * SECOND);
+            WindowedRetryBudget budget = new WindowedRetryBudget(RATIO, EXTRA, 10 * SECOND);
             budget.processes(processes);
             fleet.add(budget);
         }
@@ -33,7 +33,7 @@
         long now = 0;
         for (int i = 0; i < gapsMillis.size(); i++) {
             now += gapsMillis.get(i) * 1_000_000L;
-            RepeatBudget budget = fleet.get(i * 7 % processes);
+            WindowedRetryBudget budget = fleet.get(i * 7 % processes);
             budget.request(now);
             requests.add(now);
             while (budget.take(now)) {
@@ -48,7 +48,7 @@
 
     @Test
     void aSpentBudgetComesBackWithTime() {
-        RepeatBudget budget = new RepeatBudget(0, 10, 10 * SECOND);
+        WindowedRetryBudget budget = new WindowedRetryBudget(0, 10, 10 * SECOND);
         int taken = 0;
         while (budget.take(0)) {
             taken++;
