--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -93,7 +93,7 @@
     SendPermission intake(ColdStart coldStart, OptionalDouble limit, ShareHolders holders, long nowNanos) {
         boolean cold = coldPeriod.cold(coldStart, nowNanos);
         if (!cold && limit.isEmpty()) {
-            return SendPermission.FREE;
+            return SendPermission.UNLIMITED;
         }
         int processes = holders.processes();
         boolean open = (!cold || open(RateShare.ofPeak(coldStart.perSecond(), processes), holders, nowNanos))
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -83,12 +83,12 @@
         start(1, 0);
         publish(0, 4 * SECOND);
         Workers process = fleet.get(0);
-        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.FREE);
+        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
         Placement placement = process.place(process.find("w").orElseThrow(), false, 0, 5 * SECOND);
         placement.notReached(5 * SECOND);
         placement.ended();
         assertThat(state(process, 7 * SECOND)).isEqualTo(SendPermission.SHARED);
-        assertThat(state(process, 8 * SECOND + MILLI)).isEqualTo(SendPermission.FREE);
+        assertThat(state(process, 8 * SECOND + MILLI)).isEqualTo(SendPermission.UNLIMITED);
     }
 
     // A data centre is taken back. What its workers said before it was evacuated is old: they are cold now.
@@ -100,7 +100,7 @@
         process.evacuated("dc");
         process.takenBack("dc", 9 * SECOND);
         assertThat(state(process, 9 * SECOND)).isEqualTo(SendPermission.SHARED);
-        assertThat(state(process, 12 * SECOND)).isEqualTo(SendPermission.FREE);
+        assertThat(state(process, 12 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
     }
 
     @Test
@@ -110,7 +110,7 @@
         Workers process = fleet.get(0);
         assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.SHARED);
         publish(0, 6 * SECOND);
-        assertThat(state(process, 6 * SECOND)).isEqualTo(SendPermission.FREE);
+        assertThat(state(process, 6 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
     }
 
     @Test
@@ -119,7 +119,7 @@
         publish(60_000, 4 * SECOND);
         Workers process = fleet.get(0);
         process.upstreams(upstream -> true, upstream -> new ColdStart(3_000, 0));
-        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.FREE);
+        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
     }
 
     private void start(int processes, long nowNanos) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -288,6 +288,6 @@
     }
 
     private static WorkerLoad load(String id, String address, int inFlight, double prefill, boolean suspected) {
-        return new WorkerLoad(id, id.hashCode(), address, "dc", 64, inFlight, 0, prefill, suspected, SendPermission.FREE);
+        return new WorkerLoad(id, id.hashCode(), address, "dc", 64, inFlight, 0, prefill, suspected, SendPermission.UNLIMITED);
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
@@ -52,7 +52,7 @@
 
     private static WorkerLoad load(String id, String dataCentre, int slots, int inFlight, boolean suspected) {
         return new WorkerLoad(
-                id, id.hashCode(), "10.0.0.1:1", dataCentre, slots, inFlight, 0, 0, suspected, SendPermission.FREE);
+                id, id.hashCode(), "10.0.0.1:1", dataCentre, slots, inFlight, 0, 0, suspected, SendPermission.UNLIMITED);
     }
 
     private static WorkerLoad load(String id, String dataCentre, int inFlight, boolean suspected, SendPermission state) {
