--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -87,7 +87,7 @@
         Placement placement = process.place(process.find("w").orElseThrow(), false, 0, 5 * SECOND);
         placement.notReached(5 * SECOND);
         placement.ended();
-        assertThat(state(process, 7 * SECOND)).isEqualTo(SendPermission.SHARED);
+        assertThat(state(process, 7 * SECOND)).isEqualTo(SendPermission.RATE_LIMITED);
         assertThat(state(process, 8 * SECOND + MILLI)).isEqualTo(SendPermission.UNLIMITED);
     }
 
@@ -99,7 +99,7 @@
         Workers process = fleet.get(0);
         process.evacuated("dc");
         process.takenBack("dc", 9 * SECOND);
-        assertThat(state(process, 9 * SECOND)).isEqualTo(SendPermission.SHARED);
+        assertThat(state(process, 9 * SECOND)).isEqualTo(SendPermission.RATE_LIMITED);
         assertThat(state(process, 12 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
     }
 
@@ -108,7 +108,7 @@
         start(1, 0);
         publish(60_000, 4 * SECOND);
         Workers process = fleet.get(0);
-        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.SHARED);
+        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.RATE_LIMITED);
         publish(0, 6 * SECOND);
         assertThat(state(process, 6 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SendPermission.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SendPermission.java
@@ -5,7 +5,7 @@
     /** It takes whatever it has room for. */
     UNLIMITED,
     /** It takes only so many from the whole fleet, and may get this request. */
-    SHARED,
+    RATE_LIMITED,
     /** It takes only so many, and may get nothing more from this process for now. */
     CLOSED
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
@@ -46,7 +46,7 @@
         assertThat(selector.select("dc", List.of(closed), 0)).isEmpty();
         assertThat(selector.select("dc", List.of(closed, load("bad", "dc", 6, 5, true)), 0))
                 .contains("bad");
-        WorkerLoad open = load("open", "dc", 0, false, SendPermission.SHARED);
+        WorkerLoad open = load("open", "dc", 0, false, SendPermission.RATE_LIMITED);
         assertThat(selector.select("dc", List.of(closed, open), 0)).contains("open");
     }
 
