--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -98,7 +98,7 @@
         int processes = holders.processes();
         boolean open = (!cold || open(RateShare.ofPeak(coldStart.perSecond(), processes), holders, nowNanos))
                 && (limit.isEmpty() || open(RateShare.ofMean(limit.getAsDouble(), processes), holders, nowNanos));
-        return open ? SendPermission.RATE_LIMITED : SendPermission.CLOSED;
+        return open ? SendPermission.RATE_LIMITED : SendPermission.DENIED;
     }
 
     private boolean open(RateShare share, ShareHolders holders, long nowNanos) {
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -146,7 +146,7 @@
     private void pressUntil(long untilNanos, long fromNanos) {
         for (long now = fromNanos; now < untilNanos; now += 10 * MILLI) {
             for (Workers process : fleet) {
-                if (state(process, now) != SendPermission.CLOSED) {
+                if (state(process, now) != SendPermission.DENIED) {
                     process.place(process.find("w").orElseThrow(), false, 0, now);
                     sent.add(now);
                 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SendPermission.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SendPermission.java
@@ -7,5 +7,5 @@
     /** It takes only so many from the whole fleet, and may get this request. */
     RATE_LIMITED,
     /** It takes only so many, and may get nothing more from this process for now. */
-    CLOSED
+    DENIED
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
@@ -32,6 +32,6 @@
      * @return false while this process may send it nothing more
      */
     public boolean open() {
-        return intake != SendPermission.CLOSED;
+        return intake != SendPermission.DENIED;
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -267,7 +267,7 @@
                 engine.interactiveStreams(),
                 engine.prefillMillis(),
                 engine.suspected(),
-                SendPermission.CLOSED);
+                SendPermission.DENIED);
     }
 
     private EngineSelector selector(long seed, CachedPrefixes cached) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
@@ -42,7 +42,7 @@
     // suspected is tried first.
     @Test
     void aClosedWorkerGetsNothingThoughAllOthersAreSuspected() {
-        WorkerLoad closed = load("cold", "dc", 0, false, SendPermission.CLOSED);
+        WorkerLoad closed = load("cold", "dc", 0, false, SendPermission.DENIED);
         assertThat(selector.select("dc", List.of(closed), 0)).isEmpty();
         assertThat(selector.select("dc", List.of(closed, load("bad", "dc", 6, 5, true)), 0))
                 .contains("bad");
