--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -152,7 +152,7 @@
                 .flatMap(state.workers()::find)
                 .map(source -> source.entry().address())
                 .orElse("");
-        boolean interactive = prompt.pace() == LatencyClass.SHORT_PAUSES;
+        boolean interactive = prompt.pace() == LatencyClass.GAP_SENSITIVE;
         return new Outcome.Placed(place(call, worker, interactive, prefill, nowNanos), fetchFrom);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -26,7 +26,7 @@
      * Engines for a pace beside its work. First events that are due within a second need engines that are idle for half
      * of the time.
      */
-    private static final Map<LatencyClass, Double> WEIGHT = Map.of(LatencyClass.SHORT_PAUSES, 1.0, LatencyClass.SOON, 1.6, LatencyClass.PATIENT, 1.0);
+    private static final Map<LatencyClass, Double> WEIGHT = Map.of(LatencyClass.GAP_SENSITIVE, 1.0, LatencyClass.SOON, 1.6, LatencyClass.PATIENT, 1.0);
 
     /** Assumed before anything came, and soon outweighed: milliseconds by pace. */
     private static final double[] FIRST_WORK = {220, 280, 500};
@@ -122,7 +122,7 @@
         int paces = LatencyClass.values().length;
         if (workers < paces) {
             boolean alone = workers == 2;
-            boolean first = pace == LatencyClass.SHORT_PAUSES;
+            boolean first = pace == LatencyClass.GAP_SENSITIVE;
             return alone ? new Range(first ? 0 : 1, first ? 1 : 2) : new Range(0, workers);
         }
         split(workers);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
@@ -8,7 +8,7 @@
  */
 public enum LatencyClass {
     /** Its pauses must be shorter than steps with a chunk of a long prompt are. */
-    SHORT_PAUSES,
+    GAP_SENSITIVE,
     /** Its first event must come sooner than a long prompt is read. */
     SOON,
     /** It can wait for a long prompt, and often is one. */
@@ -34,7 +34,7 @@
      */
     public static LatencyClass of(long gapTargetMillis, long firstEventMillis, int tokensPerEvent) {
         if (gapTargetMillis > 0 && gapTargetMillis <= LONG_STEP_MILLIS * tokensPerEvent) {
-            return SHORT_PAUSES;
+            return GAP_SENSITIVE;
         }
         return firstEventMillis < LONG_PROMPT_MILLIS ? SOON : PATIENT;
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -45,8 +45,8 @@
             split.arrived(prompt(LatencyClass.values()[i % 3]), 1_000 * SECOND);
         }
         EnginePartition.Range before = split.range(LatencyClass.PATIENT, 12);
-        split.arrived(prompt(LatencyClass.SHORT_PAUSES), 1_000 * SECOND);
-        split.arrived(prompt(LatencyClass.SHORT_PAUSES), 1_000 * SECOND);
+        split.arrived(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
+        split.arrived(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
         assertThat(split.range(LatencyClass.PATIENT, 12)).isEqualTo(before);
     }
 
@@ -54,8 +54,8 @@
     @Test
     void theFirstRequestOfAProcessDoesNotTakeAllEngines() {
         EnginePartition split = new EnginePartition();
-        split.arrived(prompt(LatencyClass.SHORT_PAUSES), 1_000_000 * SECOND);
-        assertThat(split.range(LatencyClass.SHORT_PAUSES, 12).to()).isLessThan(6);
+        split.arrived(prompt(LatencyClass.GAP_SENSITIVE), 1_000_000 * SECOND);
+        assertThat(split.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(6);
         assertThat(split.range(LatencyClass.PATIENT, 12).from()).isLessThan(9);
     }
 
@@ -65,7 +65,7 @@
         EnginePartition other = new EnginePartition();
         for (int i = 0; i < 100; i++) {
             one.arrived(prompt(LatencyClass.PATIENT), SECOND);
-            other.arrived(prompt(LatencyClass.SHORT_PAUSES), SECOND);
+            other.arrived(prompt(LatencyClass.GAP_SENSITIVE), SECOND);
         }
         one.peer("other", true, other.own(), SECOND);
         other.peer("one", true, one.own(), SECOND);
@@ -78,9 +78,9 @@
     void aPeerThatHasGoneSilentNoLongerCounts() {
         EnginePartition split = new EnginePartition();
         split.peer("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
-        EnginePartition.Range before = split.range(LatencyClass.SHORT_PAUSES, 12);
+        EnginePartition.Range before = split.range(LatencyClass.GAP_SENSITIVE, 12);
         split.arrived(prompt(LatencyClass.PATIENT), 20 * SECOND);
-        assertThat(split.range(LatencyClass.SHORT_PAUSES, 12).to()).isLessThan(before.to());
+        assertThat(split.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(before.to());
     }
 
     // A collector adds up for its reporters. If a process's own work came back to it in that sum, each round would
@@ -101,18 +101,18 @@
     void fewEnginesAreSharedByAll() {
         EnginePartition split = new EnginePartition();
         assertThat(split.range(LatencyClass.PATIENT, 1)).isEqualTo(new EnginePartition.Range(0, 1));
-        assertThat(split.range(LatencyClass.SHORT_PAUSES, 2)).isEqualTo(new EnginePartition.Range(0, 1));
+        assertThat(split.range(LatencyClass.GAP_SENSITIVE, 2)).isEqualTo(new EnginePartition.Range(0, 1));
         assertThat(split.range(LatencyClass.SOON, 2)).isEqualTo(new EnginePartition.Range(1, 2));
     }
 
     @Test
     void thePaceFollowsFromTheTargets() {
-        assertThat(LatencyClass.of(120, 500, 2)).isEqualTo(LatencyClass.SHORT_PAUSES);
+        assertThat(LatencyClass.of(120, 500, 2)).isEqualTo(LatencyClass.GAP_SENSITIVE);
         assertThat(LatencyClass.of(200, 800, 2)).isEqualTo(LatencyClass.SOON);
         assertThat(LatencyClass.of(500, 2_500, 2)).isEqualTo(LatencyClass.PATIENT);
         assertThat(LatencyClass.of(0, 100, 1)).isEqualTo(LatencyClass.SOON);
         // Four tokens an event, which an engine that reads a prompt of 30,000 tokens makes in 292 ms.
-        assertThat(LatencyClass.of(250, 500, 4)).isEqualTo(LatencyClass.SHORT_PAUSES);
+        assertThat(LatencyClass.of(250, 500, 4)).isEqualTo(LatencyClass.GAP_SENSITIVE);
         assertThat(LatencyClass.of(300, 800, 4)).isEqualTo(LatencyClass.SOON);
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -42,7 +42,7 @@
         Map<String, LatencyClass> users = new HashMap<>();
         List<WorkerLoad> engines = idle(ENGINES);
         for (int i = 0; i < 200; i++) {
-            LatencyClass pace = i % 2 == 0 ? LatencyClass.PATIENT : LatencyClass.SHORT_PAUSES;
+            LatencyClass pace = i % 2 == 0 ? LatencyClass.PATIENT : LatencyClass.GAP_SENSITIVE;
             String engine =
                     selector.select(prompt("p" + i, pace), engines, SECOND).orElseThrow();
             assertThat(users.putIfAbsent(engine, pace)).isIn(null, pace);
