--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
@@ -10,7 +10,7 @@
     /** Its pauses must be shorter than steps with a chunk of a long prompt are. */
     GAP_SENSITIVE,
     /** Its first event must come sooner than a long prompt is read. */
-    SOON,
+    START_SENSITIVE,
     /** It can wait for a long prompt, and often is one. */
     PATIENT;
 
@@ -36,6 +36,6 @@
         if (gapTargetMillis > 0 && gapTargetMillis <= LONG_STEP_MILLIS * tokensPerEvent) {
             return GAP_SENSITIVE;
         }
-        return firstEventMillis < LONG_PROMPT_MILLIS ? SOON : PATIENT;
+        return firstEventMillis < LONG_PROMPT_MILLIS ? START_SENSITIVE : PATIENT;
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
@@ -55,6 +55,6 @@
                 List.of(new Prompt.Part(first, 100), new Prompt.Part(second, 100), new Prompt.Part("own", 50)),
                 250,
                 10,
-                LatencyClass.SOON);
+                LatencyClass.START_SENSITIVE);
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -19,7 +19,7 @@
             @ForAll @IntRange(max = 50) int patient) {
         EnginePartition split = new EnginePartition();
         for (int i = 0; i < soon; i++) {
-            split.arrived(prompt(LatencyClass.SOON), i * SECOND / 10);
+            split.arrived(prompt(LatencyClass.START_SENSITIVE), i * SECOND / 10);
         }
         for (int i = 0; i < patient; i++) {
             split.arrived(prompt(LatencyClass.PATIENT), (soon + i) * SECOND / 10);
@@ -102,18 +102,18 @@
         EnginePartition split = new EnginePartition();
         assertThat(split.range(LatencyClass.PATIENT, 1)).isEqualTo(new EnginePartition.Range(0, 1));
         assertThat(split.range(LatencyClass.GAP_SENSITIVE, 2)).isEqualTo(new EnginePartition.Range(0, 1));
-        assertThat(split.range(LatencyClass.SOON, 2)).isEqualTo(new EnginePartition.Range(1, 2));
+        assertThat(split.range(LatencyClass.START_SENSITIVE, 2)).isEqualTo(new EnginePartition.Range(1, 2));
     }
 
     @Test
     void thePaceFollowsFromTheTargets() {
         assertThat(LatencyClass.of(120, 500, 2)).isEqualTo(LatencyClass.GAP_SENSITIVE);
-        assertThat(LatencyClass.of(200, 800, 2)).isEqualTo(LatencyClass.SOON);
+        assertThat(LatencyClass.of(200, 800, 2)).isEqualTo(LatencyClass.START_SENSITIVE);
         assertThat(LatencyClass.of(500, 2_500, 2)).isEqualTo(LatencyClass.PATIENT);
-        assertThat(LatencyClass.of(0, 100, 1)).isEqualTo(LatencyClass.SOON);
+        assertThat(LatencyClass.of(0, 100, 1)).isEqualTo(LatencyClass.START_SENSITIVE);
         // Four tokens an event, which an engine that reads a prompt of 30,000 tokens makes in 292 ms.
         assertThat(LatencyClass.of(250, 500, 4)).isEqualTo(LatencyClass.GAP_SENSITIVE);
-        assertThat(LatencyClass.of(300, 800, 4)).isEqualTo(LatencyClass.SOON);
+        assertThat(LatencyClass.of(300, 800, 4)).isEqualTo(LatencyClass.START_SENSITIVE);
     }
 
     private static Prompt prompt(LatencyClass pace) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -130,14 +130,14 @@
     @Test
     void suspectedEnginesAreUsedWhereThereAreNoOthers() {
         List<WorkerLoad> engines = List.of(load("a", "10.0.0.1:1", 0, 0, true), load("b", "10.0.0.2:1", 0, 0, true));
-        assertThat(selector.select(prompt("p", LatencyClass.SOON), engines, SECOND)).isPresent();
-        assertThat(selector.select(prompt("p", LatencyClass.SOON), List.of(), SECOND)).isEmpty();
+        assertThat(selector.select(prompt("p", LatencyClass.START_SENSITIVE), engines, SECOND)).isPresent();
+        assertThat(selector.select(prompt("p", LatencyClass.START_SENSITIVE), List.of(), SECOND)).isEmpty();
     }
 
     @Test
     void aPromptGoesWhereItsPartsHaveBeenReadThoughThatIsNotTheirHome() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("part", LatencyClass.SOON);
+        Prompt prompt = prompt("part", LatencyClass.START_SENSITIVE);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, home.hashCode(), SECOND);
         assertThat(prefixes.cachedTokens(prompt, home.hashCode(), 2 * SECOND)).isEqualTo(13_000);
@@ -246,7 +246,7 @@
             }
         }
         assertThat(selector(1, new CachedPrefixes())
-                        .choose(prompt("p", LatencyClass.SOON), closed(idle(1), "engine-0"), Integer.MAX_VALUE, 0))
+                        .choose(prompt("p", LatencyClass.START_SENSITIVE), closed(idle(1), "engine-0"), Integer.MAX_VALUE, 0))
                 .isInstanceOf(SelectionResult.NoRoom.class);
     }
 
