--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -145,7 +145,7 @@
         call.sending(worker.entry().id(), nowNanos);
         double prefill = prompt.prefillMillis(engine.cachedTokens());
         state.prefixes().sent(prompt, worker.entry().incarnation(), nowNanos);
-        if (prompt.pace() == LatencyClass.PATIENT) {
+        if (prompt.pace() == LatencyClass.DELAY_TOLERANT) {
             model(call).placed(prefill, prompt.outputTokens());
         }
         String fetchFrom = engine.source()
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -36,14 +36,14 @@
      * latency targets (0.5, 0.8 and 2.5 s), so that a request goes elsewhere only where it would else be late.
      */
     private static final Map<LatencyClass, Double> OTHER_SPLIT_MILLIS =
-            Map.of(LatencyClass.GAP_SENSITIVE, 300.0, LatencyClass.START_SENSITIVE, 480.0, LatencyClass.PATIENT, 1_500.0);
+            Map.of(LatencyClass.GAP_SENSITIVE, 300.0, LatencyClass.START_SENSITIVE, 480.0, LatencyClass.DELAY_TOLERANT, 1_500.0);
 
     /**
      * Prefill of a whole prompt of the usual length, by pace. One whose parts have been read there holds the streams up by
      * less, and costs as much less: when the split moves, parts are still used where they are and not read again.
      */
     private static final Map<LatencyClass, Double> USUAL_MILLIS =
-            Map.of(LatencyClass.GAP_SENSITIVE, 24.0, LatencyClass.START_SENSITIVE, 170.0, LatencyClass.PATIENT, 350.0);
+            Map.of(LatencyClass.GAP_SENSITIVE, 24.0, LatencyClass.START_SENSITIVE, 170.0, LatencyClass.DELAY_TOLERANT, 350.0);
 
     /** What a request without a free slot waits at least: the shortest streams take about a second. */
     private static final double NO_SLOT_MILLIS = 1_000;
@@ -55,7 +55,7 @@
      * 0.8 and 2 s).
      */
     private static final Map<LatencyClass, Double> READ_AGAIN =
-            Map.of(LatencyClass.GAP_SENSITIVE, 4.0, LatencyClass.START_SENSITIVE, 2.0, LatencyClass.PATIENT, 6.0);
+            Map.of(LatencyClass.GAP_SENSITIVE, 4.0, LatencyClass.START_SENSITIVE, 2.0, LatencyClass.DELAY_TOLERANT, 6.0);
 
     /**
      * How much more it weighs to read parts at an engine that is not one of their homes. It bounds the engines that read
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
@@ -12,7 +12,7 @@
     /** Its first event must come sooner than a long prompt is read. */
     START_SENSITIVE,
     /** It can wait for a long prompt, and often is one. */
-    PATIENT;
+    DELAY_TOLERANT;
 
     /**
      * The longest usual step with a chunk of a long prompt: 33 ms for 2,048 tokens at 62.4 tokens/ms, 30 ms for attention to
@@ -36,6 +36,6 @@
         if (gapTargetMillis > 0 && gapTargetMillis <= LONG_STEP_MILLIS * tokensPerEvent) {
             return GAP_SENSITIVE;
         }
-        return firstEventMillis < LONG_PROMPT_MILLIS ? START_SENSITIVE : PATIENT;
+        return firstEventMillis < LONG_PROMPT_MILLIS ? START_SENSITIVE : DELAY_TOLERANT;
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -22,7 +22,7 @@
             split.arrived(prompt(LatencyClass.START_SENSITIVE), i * SECOND / 10);
         }
         for (int i = 0; i < patient; i++) {
-            split.arrived(prompt(LatencyClass.PATIENT), (soon + i) * SECOND / 10);
+            split.arrived(prompt(LatencyClass.DELAY_TOLERANT), (soon + i) * SECOND / 10);
         }
         int next = 0;
         for (LatencyClass pace : LatencyClass.values()) {
@@ -44,10 +44,10 @@
         for (int i = 0; i < 60; i++) {
             split.arrived(prompt(LatencyClass.values()[i % 3]), 1_000 * SECOND);
         }
-        EnginePartition.Range before = split.range(LatencyClass.PATIENT, 12);
+        EnginePartition.Range before = split.range(LatencyClass.DELAY_TOLERANT, 12);
         split.arrived(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
         split.arrived(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
-        assertThat(split.range(LatencyClass.PATIENT, 12)).isEqualTo(before);
+        assertThat(split.range(LatencyClass.DELAY_TOLERANT, 12)).isEqualTo(before);
     }
 
     // A process has just started. Its first request must not decide alone, or all engines would be for its pace.
@@ -56,7 +56,7 @@
         EnginePartition split = new EnginePartition();
         split.arrived(prompt(LatencyClass.GAP_SENSITIVE), 1_000_000 * SECOND);
         assertThat(split.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(6);
-        assertThat(split.range(LatencyClass.PATIENT, 12).from()).isLessThan(9);
+        assertThat(split.range(LatencyClass.DELAY_TOLERANT, 12).from()).isLessThan(9);
     }
 
     @Test
@@ -64,7 +64,7 @@
         EnginePartition one = new EnginePartition();
         EnginePartition other = new EnginePartition();
         for (int i = 0; i < 100; i++) {
-            one.arrived(prompt(LatencyClass.PATIENT), SECOND);
+            one.arrived(prompt(LatencyClass.DELAY_TOLERANT), SECOND);
             other.arrived(prompt(LatencyClass.GAP_SENSITIVE), SECOND);
         }
         one.peer("other", true, other.own(), SECOND);
@@ -79,7 +79,7 @@
         EnginePartition split = new EnginePartition();
         split.peer("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
         EnginePartition.Range before = split.range(LatencyClass.GAP_SENSITIVE, 12);
-        split.arrived(prompt(LatencyClass.PATIENT), 20 * SECOND);
+        split.arrived(prompt(LatencyClass.DELAY_TOLERANT), 20 * SECOND);
         assertThat(split.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(before.to());
     }
 
@@ -100,7 +100,7 @@
     @Test
     void fewEnginesAreSharedByAll() {
         EnginePartition split = new EnginePartition();
-        assertThat(split.range(LatencyClass.PATIENT, 1)).isEqualTo(new EnginePartition.Range(0, 1));
+        assertThat(split.range(LatencyClass.DELAY_TOLERANT, 1)).isEqualTo(new EnginePartition.Range(0, 1));
         assertThat(split.range(LatencyClass.GAP_SENSITIVE, 2)).isEqualTo(new EnginePartition.Range(0, 1));
         assertThat(split.range(LatencyClass.START_SENSITIVE, 2)).isEqualTo(new EnginePartition.Range(1, 2));
     }
@@ -109,7 +109,7 @@
     void thePaceFollowsFromTheTargets() {
         assertThat(LatencyClass.of(120, 500, 2)).isEqualTo(LatencyClass.GAP_SENSITIVE);
         assertThat(LatencyClass.of(200, 800, 2)).isEqualTo(LatencyClass.START_SENSITIVE);
-        assertThat(LatencyClass.of(500, 2_500, 2)).isEqualTo(LatencyClass.PATIENT);
+        assertThat(LatencyClass.of(500, 2_500, 2)).isEqualTo(LatencyClass.DELAY_TOLERANT);
         assertThat(LatencyClass.of(0, 100, 1)).isEqualTo(LatencyClass.START_SENSITIVE);
         // Four tokens an event, which an engine that reads a prompt of 30,000 tokens makes in 292 ms.
         assertThat(LatencyClass.of(250, 500, 4)).isEqualTo(LatencyClass.GAP_SENSITIVE);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -27,7 +27,7 @@
     void processesThatKnowNothingOfEachOtherSendAPartToTheSameEngine() {
         List<WorkerLoad> engines = idle(ENGINES);
         for (int part = 0; part < 50; part++) {
-            Prompt prompt = prompt("part-" + part, LatencyClass.PATIENT);
+            Prompt prompt = prompt("part-" + part, LatencyClass.DELAY_TOLERANT);
             String first = selector.select(prompt, engines, SECOND).orElseThrow();
             String second = selector(2, new CachedPrefixes())
                     .select(prompt, engines, SECOND)
@@ -42,7 +42,7 @@
         Map<String, LatencyClass> users = new HashMap<>();
         List<WorkerLoad> engines = idle(ENGINES);
         for (int i = 0; i < 200; i++) {
-            LatencyClass pace = i % 2 == 0 ? LatencyClass.PATIENT : LatencyClass.GAP_SENSITIVE;
+            LatencyClass pace = i % 2 == 0 ? LatencyClass.DELAY_TOLERANT : LatencyClass.GAP_SENSITIVE;
             String engine =
                     selector.select(prompt("p" + i, pace), engines, SECOND).orElseThrow();
             assertThat(users.putIfAbsent(engine, pace)).isIn(null, pace);
@@ -58,7 +58,7 @@
         WorkerLoad suspect = engines.get(5);
         oneSuspected.set(5, load(suspect.id(), suspect.address(), 0, 0, true));
         for (int part = 0; part < 50; part++) {
-            Prompt prompt = prompt("part-" + part, LatencyClass.PATIENT);
+            Prompt prompt = prompt("part-" + part, LatencyClass.DELAY_TOLERANT);
             String before = selector.select(prompt, engines, SECOND).orElseThrow();
             String after = selector.select(prompt, oneSuspected, SECOND).orElseThrow();
             if (before.equals(suspect.id())) {
@@ -76,7 +76,7 @@
         List<WorkerLoad> restarted = new ArrayList<>(engines);
         restarted.set(7, load("another-name", engines.get(7).address(), 0, 0, false));
         for (int part = 0; part < 50; part++) {
-            Prompt prompt = prompt("part-" + part, LatencyClass.PATIENT);
+            Prompt prompt = prompt("part-" + part, LatencyClass.DELAY_TOLERANT);
             String before = selector.select(prompt, engines, SECOND).orElseThrow();
             String after = selector.select(prompt, restarted, SECOND).orElseThrow();
             assertThat(after).isEqualTo(before.equals(engines.get(7).id()) ? "another-name" : before);
@@ -87,7 +87,7 @@
     @Test
     void aPartWhoseEngineIsFarBehindIsReadAgainElsewhere() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", LatencyClass.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         List<WorkerLoad> busy = engines.stream()
                 .map(each -> each.id().equals(home) ? load(home, each.address(), 20, 3_000, false) : each)
@@ -106,7 +106,7 @@
             List<WorkerLoad> behind = idle(60).stream()
                     .map(each -> load(each.id(), each.address(), 5, random.nextInt(3_000), false))
                     .toList();
-            Prompt prompt = prompt("new", LatencyClass.PATIENT);
+            Prompt prompt = prompt("new", LatencyClass.DELAY_TOLERANT);
             readers.add(selector.select(prompt, behind, SECOND).orElseThrow());
         }
         assertThat(readers).hasSizeLessThanOrEqualTo(3);
@@ -118,7 +118,7 @@
     @Test
     void aPartThatWasReadIsUsedAlsoWhereItsEngineIsForAnotherPaceNow() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("part", LatencyClass.PATIENT);
+        Prompt prompt = prompt("part", LatencyClass.DELAY_TOLERANT);
         String first = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, first.hashCode(), SECOND);
         EnginePartition changed = new EnginePartition();
@@ -149,7 +149,7 @@
     @Test
     void anIdleEngineFetchesWhatABusyOneHasRead() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", LatencyClass.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, home.hashCode(), SECOND);
         List<WorkerLoad> busy = withLoad(engines, home, 20, 3_000, false);
@@ -165,7 +165,7 @@
     @Test
     void nothingIsFetchedThatMayNotHaveBeenReadYet() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", LatencyClass.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
         prefixes.sent(prompt, engines.get(0).incarnation(), 3 * SECOND);
         List<WorkerLoad> busy = withLoad(engines, engines.get(0).id(), 20, 3_000, false);
         assertThat(source(prompt, busy, 3 * SECOND + SECOND / 10)).isEmpty();
@@ -176,7 +176,7 @@
     @Test
     void nothingIsFetchedFromASuspectedEngine() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", LatencyClass.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
         prefixes.sent(prompt, engines.get(0).incarnation(), SECOND);
         List<WorkerLoad> suspected = withLoad(engines, engines.get(0).id(), 0, 0, true);
         assertThat(source(prompt, suspected, 3 * SECOND)).isEmpty();
@@ -185,7 +185,7 @@
     @Test
     void aPartIsUsedWhereItIsRatherThanFetchedWhileNobodyWaitsThere() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("part", LatencyClass.PATIENT);
+        Prompt prompt = prompt("part", LatencyClass.DELAY_TOLERANT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, home.hashCode(), SECOND);
         assertThat(fetching().choose(prompt, engines, Integer.MAX_VALUE, 3 * SECOND))
@@ -197,7 +197,7 @@
 
     @Test
     void onlyEnginesWithRoomAreChosenAndFullOnesAreToldApartFromNone() {
-        Prompt prompt = prompt("p", LatencyClass.PATIENT);
+        Prompt prompt = prompt("p", LatencyClass.DELAY_TOLERANT);
         List<WorkerLoad> full = idle(ENGINES).stream()
                 .map(each -> load(each.id(), each.address(), 20, 0, false))
                 .toList();
@@ -234,7 +234,7 @@
     void aClosedEngineGetsNothingAndKeepsItsPlaceAmongTheOthers() {
         List<WorkerLoad> open = idle(9);
         for (int i = 0; i < 40; i++) {
-            Prompt prompt = prompt("part-" + i, LatencyClass.PATIENT);
+            Prompt prompt = prompt("part-" + i, LatencyClass.DELAY_TOLERANT);
             String home =
                     selector(1, new CachedPrefixes()).select(prompt, open, 0).orElseThrow();
             String other = selector(1, new CachedPrefixes())
