--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -109,7 +109,7 @@
                     .map(worker -> engine(call, worker, engine, nowNanos))
                     .orElseGet(Outcome.NoWorker::new);
         }
-        return choice instanceof SelectionResult.NoRoom ? new Outcome.NoRoom() : new Outcome.NoWorker();
+        return choice instanceof SelectionResult.NoCapacity ? new Outcome.NoRoom() : new Outcome.NoWorker();
     }
 
     /** Requests under which a worker crashed are kept apart where that goes, so that the next crash tells which it was. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -160,7 +160,7 @@
         if (best != null) {
             return best;
         }
-        return workers.isEmpty() ? new SelectionResult.NoEngine() : new SelectionResult.NoRoom();
+        return workers.isEmpty() ? new SelectionResult.NoEngine() : new SelectionResult.NoCapacity();
     }
 
     /** An engine that has read most of a prompt's parts. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SelectionResult.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SelectionResult.java
@@ -14,7 +14,7 @@
     record Engine(String id, int cachedTokens, Optional<String> source) implements SelectionResult {}
 
     /** Nowhere yet: each engine that it may go to has as many streams under way as it can serve in time. */
-    record NoRoom() implements SelectionResult {}
+    record NoCapacity() implements SelectionResult {}
 
     /** Nowhere: there is no engine. */
     record NoEngine() implements SelectionResult {}
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -201,7 +201,7 @@
         List<WorkerLoad> full = idle(ENGINES).stream()
                 .map(each -> load(each.id(), each.address(), 20, 0, false))
                 .toList();
-        assertThat(selector.choose(prompt, full, 20, SECOND)).isEqualTo(new SelectionResult.NoRoom());
+        assertThat(selector.choose(prompt, full, 20, SECOND)).isEqualTo(new SelectionResult.NoCapacity());
         assertThat(selector.choose(prompt, List.of(), 20, SECOND)).isEqualTo(new SelectionResult.NoEngine());
         List<WorkerLoad> oneFree = withLoad(full, full.get(3).id(), 19, 0, false);
         assertThat(selector.choose(prompt, oneFree, 20, SECOND))
@@ -247,7 +247,7 @@
         }
         assertThat(selector(1, new CachedPrefixes())
                         .choose(prompt("p", LatencyClass.START_SENSITIVE), closed(idle(1), "engine-0"), Integer.MAX_VALUE, 0))
-                .isInstanceOf(SelectionResult.NoRoom.class);
+                .isInstanceOf(SelectionResult.NoCapacity.class);
     }
 
     private static List<WorkerLoad> closed(List<WorkerLoad> engines, String id) {
