--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -103,7 +103,7 @@
         EngineSelector selector = new EngineSelector(
                 dataCentre, state.prefixes(), split(call), terms.upstream().transfer(), random);
         SelectionResult choice = selector.choose(prompt.get(), candidates, mostStreams, nowNanos);
-        if (choice instanceof SelectionResult.Engine engine) {
+        if (choice instanceof SelectionResult.Selected engine) {
             return state.workers()
                     .find(engine.id())
                     .map(worker -> engine(call, worker, engine, nowNanos))
@@ -140,7 +140,7 @@
         return new Outcome.Placed(place(call, worker, false, 0, nowNanos), "");
     }
 
-    private Outcome engine(Call call, WorkerState worker, SelectionResult.Engine engine, long nowNanos) {
+    private Outcome engine(Call call, WorkerState worker, SelectionResult.Selected engine, long nowNanos) {
         Prompt prompt = call.terms().prompt().orElseThrow();
         call.sending(worker.entry().id(), nowNanos);
         double prefill = prompt.prefillMillis(engine.cachedTokens());
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -110,7 +110,7 @@
 
     @Override
     public Optional<String> select(Prompt prompt, List<WorkerLoad> workers, long nowNanos) {
-        return choose(prompt, workers, Integer.MAX_VALUE, nowNanos) instanceof SelectionResult.Engine engine
+        return choose(prompt, workers, Integer.MAX_VALUE, nowNanos) instanceof SelectionResult.Selected engine
                 ? Optional.of(engine.id())
                 : Optional.empty();
     }
@@ -138,7 +138,7 @@
                 .filter(part -> prefixes.readSomewhere(part.id(), nowNanos))
                 .isPresent();
         Optional<Source> source = source(prompt, ranked, nowNanos);
-        SelectionResult.Engine best = null;
+        SelectionResult.Selected best = null;
         double least = Double.MAX_VALUE;
         for (int i = 0; i < ranked.size(); i++) {
             WorkerLoad worker = ranked.get(i);
@@ -154,7 +154,7 @@
                     + (range.holds(i) ? 0 : outside(prompt, cached));
             if (cost < least) {
                 least = cost;
-                best = new SelectionResult.Engine(worker.id(), cached, used.map(Source::worker));
+                best = new SelectionResult.Selected(worker.id(), cached, used.map(Source::worker));
             }
         }
         if (best != null) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -154,7 +154,7 @@
         prefixes.sent(prompt, home.hashCode(), SECOND);
         List<WorkerLoad> busy = withLoad(engines, home, 20, 3_000, false);
         assertThat(fetching().choose(prompt, busy, Integer.MAX_VALUE, 3 * SECOND))
-                .isInstanceOfSatisfying(SelectionResult.Engine.class, choice -> {
+                .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
                     assertThat(choice.id()).isNotEqualTo(home);
                     assertThat(choice.source()).contains(home);
                     assertThat(choice.cachedTokens()).isEqualTo(13_000);
@@ -189,7 +189,7 @@
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, home.hashCode(), SECOND);
         assertThat(fetching().choose(prompt, engines, Integer.MAX_VALUE, 3 * SECOND))
-                .isInstanceOfSatisfying(SelectionResult.Engine.class, choice -> {
+                .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
                     assertThat(choice.id()).isEqualTo(home);
                     assertThat(choice.source()).isEmpty();
                 });
@@ -206,7 +206,7 @@
         List<WorkerLoad> oneFree = withLoad(full, full.get(3).id(), 19, 0, false);
         assertThat(selector.choose(prompt, oneFree, 20, SECOND))
                 .isInstanceOfSatisfying(
-                        SelectionResult.Engine.class,
+                        SelectionResult.Selected.class,
                         choice -> assertThat(choice.id()).isEqualTo(full.get(3).id()));
     }
 
@@ -217,7 +217,7 @@
 
     private Optional<String> source(Prompt prompt, List<WorkerLoad> engines, long nowNanos) {
         SelectionResult choice = fetching().choose(prompt, engines, Integer.MAX_VALUE, nowNanos);
-        return ((SelectionResult.Engine) choice).source();
+        return ((SelectionResult.Selected) choice).source();
     }
 
     private static List<WorkerLoad> withLoad(
