--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -148,7 +148,7 @@
         if (prompt.pace() == LatencyClass.DELAY_TOLERANT) {
             model(call).placed(prefill, prompt.outputTokens());
         }
-        String fetchFrom = engine.source()
+        String fetchFrom = engine.fetchSource()
                 .flatMap(state.workers()::find)
                 .map(source -> source.entry().address())
                 .orElse("");
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SelectionResult.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SelectionResult.java
@@ -11,7 +11,7 @@
      * @param cachedTokens how much of the prompt it need not read
      * @param source the engine from which it should fetch parts that it has not read itself; empty if there is none
      */
-    record Selected(String id, int cachedTokens, Optional<String> source) implements SelectionResult {}
+    record Selected(String id, int cachedTokens, Optional<String> fetchSource) implements SelectionResult {}
 
     /** Nowhere yet: each engine that it may go to has as many streams under way as it can serve in time. */
     record NoCapacity() implements SelectionResult {}
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -156,7 +156,7 @@
         assertThat(fetching().choose(prompt, busy, Integer.MAX_VALUE, 3 * SECOND))
                 .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
                     assertThat(choice.id()).isNotEqualTo(home);
-                    assertThat(choice.source()).contains(home);
+                    assertThat(choice.fetchSource()).contains(home);
                     assertThat(choice.cachedTokens()).isEqualTo(13_000);
                 });
     }
@@ -191,7 +191,7 @@
         assertThat(fetching().choose(prompt, engines, Integer.MAX_VALUE, 3 * SECOND))
                 .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
                     assertThat(choice.id()).isEqualTo(home);
-                    assertThat(choice.source()).isEmpty();
+                    assertThat(choice.fetchSource()).isEmpty();
                 });
     }
 
@@ -217,7 +217,7 @@
 
     private Optional<String> source(Prompt prompt, List<WorkerLoad> engines, long nowNanos) {
         SelectionResult choice = fetching().choose(prompt, engines, Integer.MAX_VALUE, nowNanos);
-        return ((SelectionResult.Selected) choice).source();
+        return ((SelectionResult.Selected) choice).fetchSource();
     }
 
     private static List<WorkerLoad> withLoad(
