--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -165,7 +165,7 @@
 
     private static SendPermission state(Workers process, long nowNanos) {
         List<WorkerLoad> candidates = process.candidates("u", Set.of(), nowNanos);
-        return candidates.get(0).intake();
+        return candidates.get(0).sendPermission();
     }
 
     private static List<String> names(int from, int to) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
@@ -12,7 +12,7 @@
  * @param interactiveStreams those among them whose pauses between events must be short
  * @param prefillMillis estimated work of the prompts there that have no first event yet, in milliseconds
  * @param suspected whether it lately failed requests or connections and should be left out while others are there
- * @param intake whether it takes requests of this process; one that is closed gets nothing, but keeps its place among the others, since
+ * @param sendPermission whether it takes requests of this process; one that is closed gets nothing, but keeps its place among the others, since
  *     processes may use different ones
  */
 public record WorkerLoad(
@@ -25,13 +25,13 @@
         int interactiveStreams,
         double prefillMillis,
         boolean suspected,
-        SendPermission intake) {
+        SendPermission sendPermission) {
     /**
      * Whether it may get a request.
      *
      * @return false while this process may send it nothing more
      */
     public boolean open() {
-        return intake != SendPermission.DENIED;
+        return sendPermission != SendPermission.DENIED;
     }
 }
