--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -84,7 +84,7 @@
     int room(Call call, long nowNanos) {
         int most = mostStreams(call);
         return candidates(call, nowNanos).stream()
-                .filter(engine -> engine.open() && !engine.suspected())
+                .filter(engine -> engine.canReceive() && !engine.suspected())
                 .mapToInt(engine -> Math.max(0, Math.min(most, engine.slots()) - engine.inFlight()))
                 .sum();
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -126,7 +126,7 @@
      * @return the engine, or why there is none
      */
     public SelectionResult choose(Prompt prompt, List<WorkerLoad> workers, int mostStreams, long nowNanos) {
-        boolean anySound = workers.stream().anyMatch(each -> each.open() && !each.suspected());
+        boolean anySound = workers.stream().anyMatch(each -> each.canReceive() && !each.suspected());
         List<WorkerLoad> ranked = new ArrayList<>(workers);
         ranked.sort(Comparator.comparingInt((WorkerLoad each) -> RankHash.mix(each.address()))
                 .thenComparing(WorkerLoad::id));
@@ -142,7 +142,7 @@
         double least = Double.MAX_VALUE;
         for (int i = 0; i < ranked.size(); i++) {
             WorkerLoad worker = ranked.get(i);
-            if (anySound && worker.suspected() || !worker.open() || !hasRoom(worker, mostStreams)) {
+            if (anySound && worker.suspected() || !worker.canReceive() || !hasRoom(worker, mostStreams)) {
                 continue;
             }
             int own = prefixes.cachedTokens(prompt, worker.incarnation(), nowNanos);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LeastLoadedSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LeastLoadedSelector.java
@@ -44,11 +44,11 @@
      */
     @Override
     public Optional<String> select(String dataCentre, List<WorkerLoad> workers, long nowNanos) {
-        boolean anySound = workers.stream().anyMatch(each -> each.open() && !each.suspected());
+        boolean anySound = workers.stream().anyMatch(each -> each.canReceive() && !each.suspected());
         String best = null;
         double least = Double.MAX_VALUE;
         for (WorkerLoad worker : workers) {
-            if (!worker.open() || anySound && worker.suspected()) {
+            if (!worker.canReceive() || anySound && worker.suspected()) {
                 continue;
             }
             double load = worker.inFlight() / (double) Math.max(1, worker.slots());
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
@@ -31,7 +31,7 @@
      *
      * @return false while this process may send it nothing more
      */
-    public boolean open() {
+    public boolean canReceive() {
         return sendPermission != SendPermission.DENIED;
     }
 }
