--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -145,14 +145,14 @@
         call.sending(worker.entry().id(), nowNanos);
         double prefill = prompt.prefillMillis(engine.cachedTokens());
         state.prefixes().sent(prompt, worker.entry().incarnation(), nowNanos);
-        if (prompt.pace() == LatencyClass.DELAY_TOLERANT) {
+        if (prompt.latencyClass() == LatencyClass.DELAY_TOLERANT) {
             model(call).placed(prefill, prompt.outputTokens());
         }
         String fetchFrom = engine.fetchSource()
                 .flatMap(state.workers()::find)
                 .map(source -> source.entry().address())
                 .orElse("");
-        boolean interactive = prompt.pace() == LatencyClass.GAP_SENSITIVE;
+        boolean interactive = prompt.latencyClass() == LatencyClass.GAP_SENSITIVE;
         return new Outcome.Placed(place(call, worker, interactive, prefill, nowNanos), fetchFrom);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * How many of an upstream's engines are for the streams of each pace, in proportion to the work that lately came to all
+ * How many of an upstream's engines are for the streams of each latencyClass, in proportion to the work that lately came to all
  * processes.
  *
  * <p>It answers a mix that changes through the day. With fixed splits, one of them is idle while the other queues; with
@@ -108,29 +108,29 @@
         begun = true;
         lastNanos = nowNanos;
         double work = prompt.prefillMillis(0) + OUTPUT_TOKEN_MILLIS * prompt.outputTokens();
-        own = own.faded(fade).with(prompt.pace(), WEIGHT.get(prompt.pace()) * work);
+        own = own.faded(fade).with(prompt.latencyClass(), WEIGHT.get(prompt.latencyClass()) * work);
     }
 
     /**
      * The ranks of the engines that are for one pace. A pace without engines of its own may use all.
      *
-     * @param pace the pace
+     * @param latencyClass the pace
      * @param workers how many engines there are
      * @return first rank and the one after the last
      */
-    public Range range(LatencyClass pace, int workers) {
+    public Range range(LatencyClass latencyClass, int workers) {
         int paces = LatencyClass.values().length;
         if (workers < paces) {
             boolean alone = workers == 2;
-            boolean first = pace == LatencyClass.GAP_SENSITIVE;
+            boolean first = latencyClass == LatencyClass.GAP_SENSITIVE;
             return alone ? new Range(first ? 0 : 1, first ? 1 : 2) : new Range(0, workers);
         }
         split(workers);
         int from = 0;
-        for (int i = 0; i < pace.ordinal(); i++) {
+        for (int i = 0; i < latencyClass.ordinal(); i++) {
             from += counts[i];
         }
-        int count = counts[pace.ordinal()];
+        int count = counts[latencyClass.ordinal()];
         return count == 0 ? new Range(0, workers) : new Range(from, from + count);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -130,7 +130,7 @@
         List<WorkerLoad> ranked = new ArrayList<>(workers);
         ranked.sort(Comparator.comparingInt((WorkerLoad each) -> RankHash.mix(each.address()))
                 .thenComparing(WorkerLoad::id));
-        EnginePartition.Range range = split.range(prompt.pace(), ranked.size());
+        EnginePartition.Range range = split.range(prompt.latencyClass(), ranked.size());
         // Processes suspect different engines at different times; ranks and splits must not follow that, or their homes
         // would differ for every part.
         List<String> homes = homes(prompt, ranked.subList(range.from(), range.to()), anySound);
@@ -195,7 +195,7 @@
             cost += NO_SLOT_MILLIS * (1 + worker.inFlight() - worker.slots()) / Math.max(1, worker.slots())
                     + NO_SLOT_MILLIS;
         }
-        if (prompt.pace() != LatencyClass.GAP_SENSITIVE) {
+        if (prompt.latencyClass() != LatencyClass.GAP_SENSITIVE) {
             cost += own * worker.interactiveStreams();
         }
         boolean near = worker.dataCentre().equals(dataCentre);
@@ -208,7 +208,7 @@
      */
     private static double reading(Prompt prompt, int cached, boolean readSomewhere, int home) {
         double millis = Math.max(0, prompt.sharedTokens() - cached) / PREFILL_TOKENS_PER_MILLI;
-        double weight = READ_AGAIN.get(prompt.pace());
+        double weight = READ_AGAIN.get(prompt.latencyClass());
         if (home < 0) {
             return NOT_HOME * weight * millis;
         }
@@ -218,12 +218,12 @@
     private double fetching(Prompt prompt, int tokens) {
         return tokens <= 0
                 ? 0
-                : transfer.millis(tokens) + FETCH * READ_AGAIN.get(prompt.pace()) * tokens / PREFILL_TOKENS_PER_MILLI;
+                : transfer.millis(tokens) + FETCH * READ_AGAIN.get(prompt.latencyClass()) * tokens / PREFILL_TOKENS_PER_MILLI;
     }
 
     private static double outside(Prompt prompt, int cached) {
-        double part = prompt.prefillMillis(cached) / USUAL_MILLIS.get(prompt.pace());
-        return OTHER_SPLIT_MILLIS.get(prompt.pace()) * Math.min(1, part);
+        double part = prompt.prefillMillis(cached) / USUAL_MILLIS.get(prompt.latencyClass());
+        return OTHER_SPLIT_MILLIS.get(prompt.latencyClass()) * Math.min(1, part);
     }
 
     /** The engines where a prompt's parts are read, by rendezvous hashing of the last one over the prompt's split. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClassWork.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClassWork.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * Work that lately came of each pace, in milliseconds, as an average that fades by half in each half-life.
+ * Work that lately came of each latencyClass, in milliseconds, as an average that fades by half in each half-life.
  *
  * @param millis by the ordinal of the pace
  */
@@ -23,9 +23,9 @@
         return new LatencyClassWork(Arrays.stream(millis).map(each -> each * factor).toArray());
     }
 
-    LatencyClassWork with(LatencyClass pace, double more) {
+    LatencyClassWork with(LatencyClass latencyClass, double more) {
         double[] changed = millis.clone();
-        changed[pace.ordinal()] += more;
+        changed[latencyClass.ordinal()] += more;
         return new LatencyClassWork(changed);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Prompt.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Prompt.java
@@ -9,9 +9,9 @@
  * @param parts the parts that it is made of, in their order; the last one is the request's own
  * @param promptTokens tokens of all parts together
  * @param outputTokens the most tokens that the answer may have
- * @param pace what it must not be held up by
+ * @param latencyClass what it must not be held up by
  */
-public record Prompt(List<Part> parts, int promptTokens, int outputTokens, LatencyClass pace) {
+public record Prompt(List<Part> parts, int promptTokens, int outputTokens, LatencyClass latencyClass) {
     /**
      * A part of a prompt that other prompts may share.
      *
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -25,8 +25,8 @@
             split.arrived(prompt(LatencyClass.DELAY_TOLERANT), (soon + i) * SECOND / 10);
         }
         int next = 0;
-        for (LatencyClass pace : LatencyClass.values()) {
-            EnginePartition.Range range = split.range(pace, engines);
+        for (LatencyClass latencyClass : LatencyClass.values()) {
+            EnginePartition.Range range = split.range(latencyClass, engines);
             if (range.to() - range.from() < engines) {
                 assertThat(range.from()).isEqualTo(next);
                 assertThat(range.to()).isGreaterThan(range.from());
@@ -69,8 +69,8 @@
         }
         one.peer("other", true, other.own(), SECOND);
         other.peer("one", true, one.own(), SECOND);
-        for (LatencyClass pace : LatencyClass.values()) {
-            assertThat(other.range(pace, 12)).isEqualTo(one.range(pace, 12));
+        for (LatencyClass latencyClass : LatencyClass.values()) {
+            assertThat(other.range(latencyClass, 12)).isEqualTo(one.range(latencyClass, 12));
         }
     }
 
@@ -116,7 +116,7 @@
         assertThat(LatencyClass.of(300, 800, 4)).isEqualTo(LatencyClass.START_SENSITIVE);
     }
 
-    private static Prompt prompt(LatencyClass pace) {
-        return new Prompt(List.of(new Prompt.Part("own", 9_000)), 9_000, 100, pace);
+    private static Prompt prompt(LatencyClass latencyClass) {
+        return new Prompt(List.of(new Prompt.Part("own", 9_000)), 9_000, 100, latencyClass);
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -42,10 +42,10 @@
         Map<String, LatencyClass> users = new HashMap<>();
         List<WorkerLoad> engines = idle(ENGINES);
         for (int i = 0; i < 200; i++) {
-            LatencyClass pace = i % 2 == 0 ? LatencyClass.DELAY_TOLERANT : LatencyClass.GAP_SENSITIVE;
+            LatencyClass latencyClass = i % 2 == 0 ? LatencyClass.DELAY_TOLERANT : LatencyClass.GAP_SENSITIVE;
             String engine =
-                    selector.select(prompt("p" + i, pace), engines, SECOND).orElseThrow();
-            assertThat(users.putIfAbsent(engine, pace)).isIn(null, pace);
+                    selector.select(prompt("p" + i, latencyClass), engines, SECOND).orElseThrow();
+            assertThat(users.putIfAbsent(engine, latencyClass)).isIn(null, latencyClass);
         }
     }
 
@@ -274,9 +274,9 @@
         return new EngineSelector("dc", cached, split, TransferCost.none(), new Random(seed));
     }
 
-    private static Prompt prompt(String part, LatencyClass pace) {
+    private static Prompt prompt(String part, LatencyClass latencyClass) {
         return new Prompt(
-                List.of(new Prompt.Part(part, 13_000), new Prompt.Part(part + "-own", 1_000)), 14_000, 100, pace);
+                List.of(new Prompt.Part(part, 13_000), new Prompt.Part(part + "-own", 1_000)), 14_000, 100, latencyClass);
     }
 
     private static List<WorkerLoad> idle(int count) {
