--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -134,7 +134,7 @@
         // Processes suspect different engines at different times; ranks and splits must not follow that, or their homes
         // would differ for every part.
         List<String> homes = homes(prompt, ranked.subList(range.from(), range.to()), anySound);
-        boolean read = prompt.lastShared()
+        boolean read = prompt.lastSharedPart()
                 .filter(part -> prefixes.readSomewhere(part.id(), nowNanos))
                 .isPresent();
         Optional<Source> source = source(prompt, ranked, nowNanos);
@@ -228,7 +228,7 @@
 
     /** The engines where a prompt's parts are read, by rendezvous hashing of the last one over the prompt's split. */
     private static List<String> homes(Prompt prompt, List<WorkerLoad> inSplit, boolean anySound) {
-        Optional<Prompt.Part> part = prompt.lastShared();
+        Optional<Prompt.Part> part = prompt.lastSharedPart();
         if (part.isEmpty()) {
             return List.of();
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Prompt.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Prompt.java
@@ -42,7 +42,7 @@
      *
      * @return empty if the prompt has only its own
      */
-    public Optional<Part> lastShared() {
+    public Optional<Part> lastSharedPart() {
         return parts.size() < 2 ? Optional.empty() : Optional.of(parts.get(parts.size() - 2));
     }
 
