--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/TransferCost.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/TransferCost.java
@@ -24,7 +24,7 @@
      * @param megabitsPerSecond the link of an engine
      * @return none if a figure is missing, that is, zero
      */
-    public static TransferCost over(double bytesPerToken, double megabitsPerSecond) {
+    public static TransferCost ofLink(double bytesPerToken, double megabitsPerSecond) {
         boolean known = bytesPerToken > 0 && megabitsPerSecond > 0;
         return known
                 ? new TransferCost(bytesPerToken * BITS_PER_BYTE / (megabitsPerSecond * BITS_PER_MEGABIT_MILLI))
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -211,7 +211,7 @@
     }
 
     private EngineSelector fetching() {
-        TransferCost transfer = TransferCost.over(160_000, 1_000_000);
+        TransferCost transfer = TransferCost.ofLink(160_000, 1_000_000);
         return new EngineSelector("dc", prefixes, split, transfer, new Random(5));
     }
 
