--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/UpstreamSpec.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/UpstreamSpec.java
@@ -21,6 +21,6 @@
      * @return the upstream
      */
     public static UpstreamSpec plain(String name, ColdStart coldStart) {
-        return new UpstreamSpec(name, false, 0, TransferCost.none(), coldStart);
+        return new UpstreamSpec(name, false, 0, TransferCost.unsupported(), coldStart);
     }
 }
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SelectionOfSuspectsTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SelectionOfSuspectsTest.java
@@ -26,7 +26,7 @@
     private static final int ENGINES = 6;
     private static final int SUSPECTS = 4;
     private static final long NOW = 1_000_000_000_000L;
-    private static final UpstreamSpec UPSTREAM = new UpstreamSpec("llm", true, 2, TransferCost.none(), ColdStart.none());
+    private static final UpstreamSpec UPSTREAM = new UpstreamSpec("llm", true, 2, TransferCost.unsupported(), ColdStart.none());
     private static final Prompt PROMPT =
             new Prompt(List.of(new Prompt.Part("shared", 13_300), new Prompt.Part("own", 100)), 13_400, 60, LatencyClass.START_SENSITIVE);
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/TransferCost.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/TransferCost.java
@@ -13,7 +13,7 @@
     private static final double SETUP_MILLIS = 3;
 
     /** Of engines that can't fetch. */
-    public static TransferCost none() {
+    public static TransferCost unsupported() {
         return new TransferCost(Double.POSITIVE_INFINITY);
     }
 
@@ -28,7 +28,7 @@
         boolean known = bytesPerToken > 0 && megabitsPerSecond > 0;
         return known
                 ? new TransferCost(bytesPerToken * BITS_PER_BYTE / (megabitsPerSecond * BITS_PER_MEGABIT_MILLI))
-                : none();
+                : unsupported();
     }
 
     double millis(int tokens) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -123,7 +123,7 @@
         prefixes.sent(prompt, first.hashCode(), SECOND);
         EnginePartition changed = new EnginePartition();
         changed.peer("peer", true, new LatencyClassWork(new double[] {20_000, 20_000, 1_000}), SECOND);
-        EngineSelector after = new EngineSelector("dc", prefixes, changed, TransferCost.none(), new Random(3));
+        EngineSelector after = new EngineSelector("dc", prefixes, changed, TransferCost.unsupported(), new Random(3));
         assertThat(after.select(prompt, engines, 2 * SECOND)).contains(first);
     }
 
@@ -271,7 +271,7 @@
     }
 
     private EngineSelector selector(long seed, CachedPrefixes cached) {
-        return new EngineSelector("dc", cached, split, TransferCost.none(), new Random(seed));
+        return new EngineSelector("dc", cached, split, TransferCost.unsupported(), new Random(seed));
     }
 
     private static Prompt prompt(String part, LatencyClass latencyClass) {
