--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -146,7 +146,7 @@
         double prefill = prompt.prefillMillis(engine.cachedTokens());
         state.prefixes().sent(prompt, worker.entry().incarnation(), nowNanos);
         if (prompt.latencyClass() == LatencyClass.DELAY_TOLERANT) {
-            model(call).placed(prefill, prompt.outputTokens());
+            model(call).recordDispatch(prefill, prompt.outputTokens());
         }
         String fetchFrom = engine.fetchSource()
                 .flatMap(state.workers()::find)
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
@@ -40,7 +40,7 @@
      * @param prefill what is to be read of its prompt there, in milliseconds
      * @param mostTokens the most tokens that its answer may have
      */
-    public void placed(double prefill, int mostTokens) {
+    public void recordDispatch(double prefill, int mostTokens) {
         prompts++;
         prefillMillis += weight(prompts) * (prefill - prefillMillis);
         if (answers == 0) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -109,7 +109,7 @@
     private void send(Stream stream) {
         under.add(stream);
         unread.add(stream);
-        model.placed(stream.tokensToRead / TOKENS_PER_MILLI, ANSWER_TOKENS);
+        model.recordDispatch(stream.tokensToRead / TOKENS_PER_MILLI, ANSWER_TOKENS);
     }
 
     /** One step: a chunk of prompts, first come first read, and a token for each stream that was read. */
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
@@ -75,7 +75,7 @@
 
     private static EngineModel model(double read, int tokens, double step) {
         EngineModel model = new EngineModel();
-        model.placed(read, tokens);
+        model.recordDispatch(read, tokens);
         model.answered(tokens);
         for (int i = 0; i < 2_000; i++) {
             model.paused(step, 1);
