--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -277,7 +277,7 @@
         if (call.events() > 1) {
             model.paused(call.lastPauseMillis(), call.terms().upstream().tokensPerEvent());
         } else if (EngineLines.patient(call)) {
-            model.started(call.sinceSentMillis(loop.nowNanos()));
+            model.recordFirstEvent(call.sinceSentMillis(loop.nowNanos()));
         }
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
@@ -53,7 +53,7 @@
      *
      * @param millis the time since it was sent to the engine
      */
-    public void started(double millis) {
+    public void recordFirstEvent(double millis) {
         starts++;
         startDeviation += weight(starts) * (Math.abs(millis - startMillis) - startDeviation);
         startMillis += weight(starts) * (millis - startMillis);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
@@ -34,7 +34,7 @@
         EngineModel model = new EngineModel();
         assertThat(model.leadMillis()).isZero();
         for (int i = 0; i < 300; i++) {
-            model.started(i % 2 == 0 ? 200 : 400);
+            model.recordFirstEvent(i % 2 == 0 ? 200 : 400);
         }
         assertThat(model.leadMillis()).isCloseTo(400, within(40.0));
     }
