--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -286,7 +286,7 @@
         broken.finished(call);
         if (EngineLines.patient(call)) {
             int tokens = call.events() * call.terms().upstream().tokensPerEvent();
-            state.model(call.terms().upstream().name()).answered(tokens);
+            state.model(call.terms().upstream().name()).recordCompletion(tokens);
         }
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
@@ -74,7 +74,7 @@
      *
      * @param tokens the tokens of its answer
      */
-    public void answered(int tokens) {
+    public void recordCompletion(int tokens) {
         answers++;
         answerTokens += weight(answers) * (tokens - answerTokens);
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -146,7 +146,7 @@
             ended += late ? 0 : 1;
             lost += late ? 1 : 0;
             if (!late) {
-                model.answered(ANSWER_TOKENS);
+                model.recordCompletion(ANSWER_TOKENS);
             }
         }
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
@@ -76,7 +76,7 @@
     private static EngineModel model(double read, int tokens, double step) {
         EngineModel model = new EngineModel();
         model.recordDispatch(read, tokens);
-        model.answered(tokens);
+        model.recordCompletion(tokens);
         for (int i = 0; i < 2_000; i++) {
             model.paused(step, 1);
         }
