--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -275,7 +275,7 @@
     private void observe(Call call) {
         EngineModel model = state.model(call.terms().upstream().name());
         if (call.events() > 1) {
-            model.paused(call.lastPauseMillis(), call.terms().upstream().tokensPerEvent());
+            model.recordEventGap(call.lastPauseMillis(), call.terms().upstream().tokensPerEvent());
         } else if (EngineLines.patient(call)) {
             model.recordFirstEvent(call.sinceSentMillis(loop.nowNanos()));
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
@@ -85,7 +85,7 @@
      * @param pauseMillis the time between them; 0 if it was the first
      * @param tokensPerEvent how many tokens, one a step, an engine puts into one event
      */
-    public void paused(double pauseMillis, int tokensPerEvent) {
+    public void recordEventGap(double pauseMillis, int tokensPerEvent) {
         if (pauseMillis <= 0) {
             return;
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -135,7 +135,7 @@
         if (stream.tokensToRead <= 0) {
             stream.tokensToMake--;
             if (stream.lastTokenMillis > 0) {
-                model.paused(now - stream.lastTokenMillis, 1);
+                model.recordEventGap(now - stream.lastTokenMillis, 1);
             }
             stream.lastTokenMillis = now;
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
@@ -16,7 +16,7 @@
     void theStepIsLearnedFromTheFasterEvents() {
         EngineModel model = new EngineModel();
         for (int i = 0; i < 500; i++) {
-            model.paused(i % 10 < 4 ? 25 : 200, 5);
+            model.recordEventGap(i % 10 < 4 ? 25 : 200, 5);
         }
         assertThat(model.stepMillis()).isCloseTo(5, within(1.0));
     }
@@ -25,7 +25,7 @@
     void anEventAtTheSameMomentSaysNothingOfTheStep() {
         EngineModel model = new EngineModel();
         double before = model.stepMillis();
-        model.paused(0, 5);
+        model.recordEventGap(0, 5);
         assertThat(model.stepMillis()).isEqualTo(before);
     }
 
@@ -78,7 +78,7 @@
         model.recordDispatch(read, tokens);
         model.recordCompletion(tokens);
         for (int i = 0; i < 2_000; i++) {
-            model.paused(step, 1);
+            model.recordEventGap(step, 1);
         }
         return model;
     }
