--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -77,7 +77,7 @@
     }
 
     private int mostStreams(Call call) {
-        return state.model(call.terms().upstream().name()).streamsWithin(usualMillis(call));
+        return state.model(call.terms().upstream().name()).maxStreamsWithin(usualMillis(call));
     }
 
     /** Places that are free at the upstream's engines for calls like this one, whoever takes them. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
@@ -124,7 +124,7 @@
      * @param withinMillis the time in which a usual stream is to end
      * @return at least 1
      */
-    public int streamsWithin(double withinMillis) {
+    public int maxStreamsWithin(double withinMillis) {
         double read = Math.max(1, prefillMillis);
         double answer = answerTokens * stepMillis;
         double spare = withinMillis - read - answer;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -98,7 +98,7 @@
 
     private void letThrough(double now) {
         refused += line.takeHopeless(nanos(now)).size();
-        while (line.size() > 0 && under.size() < model.streamsWithin(TIMEOUT_MILLIS / 2)) {
+        while (line.size() > 0 && under.size() < model.maxStreamsWithin(TIMEOUT_MILLIS / 2)) {
             Waiter<Stream> next = line.next(nanos(now)).orElseThrow();
             line.leave(next.item());
             line.placed(next.customer(), nanos(now));
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
@@ -45,8 +45,8 @@
             @ForAll @DoubleRange(min = 20, max = 800) double read,
             @ForAll @IntRange(min = 10, max = 500) int tokens,
             @ForAll @DoubleRange(min = 2, max = 20) double factor) {
-        int streams = model(read, tokens, 5).streamsWithin(7_500);
-        int scaled = model(read * factor, tokens, 5 * factor).streamsWithin(7_500 * factor);
+        int streams = model(read, tokens, 5).maxStreamsWithin(7_500);
+        int scaled = model(read * factor, tokens, 5 * factor).maxStreamsWithin(7_500 * factor);
         // The learned step wavers by some hundredths of itself.
         assertThat(scaled).isCloseTo(streams, within(1 + streams / 20));
     }
@@ -56,7 +56,7 @@
             @ForAll @DoubleRange(min = 20, max = 800) double read, @ForAll @IntRange(min = 10, max = 500) int tokens) {
         EngineModel model = model(read, tokens, 5);
         double answer = tokens * model.stepMillis();
-        int streams = model.streamsWithin(7_500);
+        int streams = model.maxStreamsWithin(7_500);
         if (streams > 1) {
             assertThat(stay(streams, read, answer)).isLessThanOrEqualTo(7_500.001);
         }
@@ -65,7 +65,7 @@
 
     @Test
     void anAnswerThatAloneTakesTheWholeTimeGetsAnEngineForItself() {
-        assertThat(model(100, 5_000, 5).streamsWithin(7_500)).isEqualTo(1);
+        assertThat(model(100, 5_000, 5).maxStreamsWithin(7_500)).isEqualTo(1);
     }
 
     private static double stay(int streams, double read, double answer) {
