--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -110,7 +110,7 @@
 
     private void join(WaitingLine<Entry> line, Entry entry) {
         Call.Terms terms = entry.call.terms();
-        double lead = state.model(terms.upstream().name()).leadMillis();
+        double lead = state.model(terms.upstream().name()).leadTimeMillis();
         long onTime = terms.arrivalNanos() + nanos(terms.route().targetMillis() - lead);
         long inTime = terms.deadlineNanos() - nanos(Selection.usualMillis(entry.call));
         line.join(new Waiter<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
@@ -65,7 +65,7 @@
      *
      * @return milliseconds, 0 before the first one
      */
-    public double leadMillis() {
+    public double leadTimeMillis() {
         return startMillis + startDeviation;
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -91,7 +91,7 @@
                 2,
                 "c",
                 nanos(stream.arrivalMillis),
-                nanos(stream.arrivalMillis + TARGET_MILLIS - model.leadMillis()),
+                nanos(stream.arrivalMillis + TARGET_MILLIS - model.leadTimeMillis()),
                 nanos(stream.arrivalMillis + TIMEOUT_MILLIS / 2)));
         letThrough(now);
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
@@ -32,11 +32,11 @@
     @Test
     void theLeadFollowsTheTimeToTheFirstEvent() {
         EngineModel model = new EngineModel();
-        assertThat(model.leadMillis()).isZero();
+        assertThat(model.leadTimeMillis()).isZero();
         for (int i = 0; i < 300; i++) {
             model.recordFirstEvent(i % 2 == 0 ? 200 : 400);
         }
-        assertThat(model.leadMillis()).isCloseTo(400, within(40.0));
+        assertThat(model.leadTimeMillis()).isCloseTo(400, within(40.0));
     }
 
     // A deployment of slower engines whose clients wait as much longer must get the same decisions.
