--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -284,7 +284,7 @@
                     switch (kind) {
                         case GATHERED -> split.gathered();
                         case OTHERS -> split.without(receiver);
-                        default -> split.own();
+                        default -> split.localWork();
                     };
             report.addUpstreams(FleetProtos.UpstreamWork.newBuilder()
                     .setUpstream(upstream)
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -54,7 +54,7 @@
      *
      * @return the work as of the last request
      */
-    public LatencyClassWork own() {
+    public LatencyClassWork localWork() {
         return own;
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -67,8 +67,8 @@
             one.arrived(prompt(LatencyClass.DELAY_TOLERANT), SECOND);
             other.arrived(prompt(LatencyClass.GAP_SENSITIVE), SECOND);
         }
-        one.peer("other", true, other.own(), SECOND);
-        other.peer("one", true, one.own(), SECOND);
+        one.peer("other", true, other.localWork(), SECOND);
+        other.peer("one", true, one.localWork(), SECOND);
         for (LatencyClass latencyClass : LatencyClass.values()) {
             assertThat(other.range(latencyClass, 12)).isEqualTo(one.range(latencyClass, 12));
         }
@@ -89,7 +89,7 @@
     @Test
     void aCollectorsSumForAPeerLacksThatPeersOwnWork() {
         EnginePartition collector = new EnginePartition();
-        double own = collector.own().total();
+        double own = collector.localWork().total();
         collector.peer("reporter", true, new LatencyClassWork(new double[] {7, 0, 0}), SECOND);
         collector.peer("other collector", false, new LatencyClassWork(new double[] {0, 5, 0}), SECOND);
         assertThat(collector.gathered().total()).isEqualTo(own + 7);
