--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -66,7 +66,7 @@
      * @param work its work
      * @param nowNanos the time
      */
-    public void peer(String peer, boolean alone, LatencyClassWork work, long nowNanos) {
+    public void recordPeerWork(String peer, boolean alone, LatencyClassWork work, long nowNanos) {
         peers.put(peer, new Told(alone, work, nowNanos));
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -67,8 +67,8 @@
             one.arrived(prompt(LatencyClass.DELAY_TOLERANT), SECOND);
             other.arrived(prompt(LatencyClass.GAP_SENSITIVE), SECOND);
         }
-        one.peer("other", true, other.localWork(), SECOND);
-        other.peer("one", true, one.localWork(), SECOND);
+        one.recordPeerWork("other", true, other.localWork(), SECOND);
+        other.recordPeerWork("one", true, one.localWork(), SECOND);
         for (LatencyClass latencyClass : LatencyClass.values()) {
             assertThat(other.range(latencyClass, 12)).isEqualTo(one.range(latencyClass, 12));
         }
@@ -77,7 +77,7 @@
     @Test
     void aPeerThatHasGoneSilentNoLongerCounts() {
         EnginePartition split = new EnginePartition();
-        split.peer("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
+        split.recordPeerWork("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
         EnginePartition.Range before = split.range(LatencyClass.GAP_SENSITIVE, 12);
         split.arrived(prompt(LatencyClass.DELAY_TOLERANT), 20 * SECOND);
         assertThat(split.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(before.to());
@@ -90,8 +90,8 @@
     void aCollectorsSumForAPeerLacksThatPeersOwnWork() {
         EnginePartition collector = new EnginePartition();
         double own = collector.localWork().total();
-        collector.peer("reporter", true, new LatencyClassWork(new double[] {7, 0, 0}), SECOND);
-        collector.peer("other collector", false, new LatencyClassWork(new double[] {0, 5, 0}), SECOND);
+        collector.recordPeerWork("reporter", true, new LatencyClassWork(new double[] {7, 0, 0}), SECOND);
+        collector.recordPeerWork("other collector", false, new LatencyClassWork(new double[] {0, 5, 0}), SECOND);
         assertThat(collector.gathered().total()).isEqualTo(own + 7);
         assertThat(collector.without("reporter").total()).isEqualTo(own + 5);
         assertThat(collector.without("other collector").total()).isEqualTo(own + 7);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -122,7 +122,7 @@
         String first = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.sent(prompt, first.hashCode(), SECOND);
         EnginePartition changed = new EnginePartition();
-        changed.peer("peer", true, new LatencyClassWork(new double[] {20_000, 20_000, 1_000}), SECOND);
+        changed.recordPeerWork("peer", true, new LatencyClassWork(new double[] {20_000, 20_000, 1_000}), SECOND);
         EngineSelector after = new EngineSelector("dc", prefixes, changed, TransferCost.unsupported(), new Random(3));
         assertThat(after.select(prompt, engines, 2 * SECOND)).contains(first);
     }
