--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -282,7 +282,7 @@
         state.splits().forEach((upstream, split) -> {
             LatencyClassWork work =
                     switch (kind) {
-                        case GATHERED -> split.gathered();
+                        case GATHERED -> split.reportersWork();
                         case OTHERS -> split.without(receiver);
                         default -> split.localWork();
                     };
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -75,7 +75,7 @@
      *
      * @return the sum
      */
-    public LatencyClassWork gathered() {
+    public LatencyClassWork reportersWork() {
         LatencyClassWork sum = own;
         for (Told told : peers.values()) {
             sum = told.alone() ? sum.plus(told.work()) : sum;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -92,7 +92,7 @@
         double own = collector.localWork().total();
         collector.recordPeerWork("reporter", true, new LatencyClassWork(new double[] {7, 0, 0}), SECOND);
         collector.recordPeerWork("other collector", false, new LatencyClassWork(new double[] {0, 5, 0}), SECOND);
-        assertThat(collector.gathered().total()).isEqualTo(own + 7);
+        assertThat(collector.reportersWork().total()).isEqualTo(own + 7);
         assertThat(collector.without("reporter").total()).isEqualTo(own + 5);
         assertThat(collector.without("other collector").total()).isEqualTo(own + 7);
     }
