--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -283,7 +283,7 @@
             LatencyClassWork work =
                     switch (kind) {
                         case GATHERED -> split.reportersWork();
-                        case OTHERS -> split.without(receiver);
+                        case OTHERS -> split.workExcluding(receiver);
                         default -> split.localWork();
                     };
             report.addUpstreams(FleetProtos.UpstreamWork.newBuilder()
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -89,7 +89,7 @@
      * @param peer its name
      * @return the sum
      */
-    public LatencyClassWork without(String peer) {
+    public LatencyClassWork workExcluding(String peer) {
         LatencyClassWork sum = own;
         for (Map.Entry<String, Told> told : peers.entrySet()) {
             sum = told.getKey().equals(peer) ? sum : sum.plus(told.getValue().work());
@@ -160,7 +160,7 @@
 
     private double[] wanted(int workers) {
         peers.values().removeIf(told -> lastNanos - told.atNanos() > KEPT_NANOS);
-        LatencyClassWork sum = without("");
+        LatencyClassWork sum = workExcluding("");
         double total = sum.total();
         return Arrays.stream(sum.millis())
                 .map(each -> each < LEAST_SHARE * total ? 0 : workers * each / total)
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -93,8 +93,8 @@
         collector.recordPeerWork("reporter", true, new LatencyClassWork(new double[] {7, 0, 0}), SECOND);
         collector.recordPeerWork("other collector", false, new LatencyClassWork(new double[] {0, 5, 0}), SECOND);
         assertThat(collector.reportersWork().total()).isEqualTo(own + 7);
-        assertThat(collector.without("reporter").total()).isEqualTo(own + 5);
-        assertThat(collector.without("other collector").total()).isEqualTo(own + 7);
+        assertThat(collector.workExcluding("reporter").total()).isEqualTo(own + 5);
+        assertThat(collector.workExcluding("other collector").total()).isEqualTo(own + 7);
     }
 
     @Test
