--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -58,7 +58,7 @@
 
     /** Counts the call's work into its upstream's split. */
     void arrived(Call call, long nowNanos) {
-        call.terms().prompt().ifPresent(prompt -> split(call).arrived(prompt, nowNanos));
+        call.terms().prompt().ifPresent(prompt -> split(call).recordArrival(prompt, nowNanos));
     }
 
     /** The time in which a usual answer on the call's route is to end, in milliseconds. */
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -103,7 +103,7 @@
      * @param prompt its prompt
      * @param nowNanos the time
      */
-    public void arrived(Prompt prompt, long nowNanos) {
+    public void recordArrival(Prompt prompt, long nowNanos) {
         double fade = begun ? Math.pow(0.5, Math.max(0, nowNanos - lastNanos) / HALF_LIFE_NANOS) : 1;
         begun = true;
         lastNanos = nowNanos;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -19,10 +19,10 @@
             @ForAll @IntRange(max = 50) int patient) {
         EnginePartition split = new EnginePartition();
         for (int i = 0; i < soon; i++) {
-            split.arrived(prompt(LatencyClass.START_SENSITIVE), i * SECOND / 10);
+            split.recordArrival(prompt(LatencyClass.START_SENSITIVE), i * SECOND / 10);
         }
         for (int i = 0; i < patient; i++) {
-            split.arrived(prompt(LatencyClass.DELAY_TOLERANT), (soon + i) * SECOND / 10);
+            split.recordArrival(prompt(LatencyClass.DELAY_TOLERANT), (soon + i) * SECOND / 10);
         }
         int next = 0;
         for (LatencyClass latencyClass : LatencyClass.values()) {
@@ -42,11 +42,11 @@
     void aSmallChangeOfTheMixMovesNothing() {
         EnginePartition split = new EnginePartition();
         for (int i = 0; i < 60; i++) {
-            split.arrived(prompt(LatencyClass.values()[i % 3]), 1_000 * SECOND);
+            split.recordArrival(prompt(LatencyClass.values()[i % 3]), 1_000 * SECOND);
         }
         EnginePartition.Range before = split.range(LatencyClass.DELAY_TOLERANT, 12);
-        split.arrived(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
-        split.arrived(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
+        split.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
+        split.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
         assertThat(split.range(LatencyClass.DELAY_TOLERANT, 12)).isEqualTo(before);
     }
 
@@ -54,7 +54,7 @@
     @Test
     void theFirstRequestOfAProcessDoesNotTakeAllEngines() {
         EnginePartition split = new EnginePartition();
-        split.arrived(prompt(LatencyClass.GAP_SENSITIVE), 1_000_000 * SECOND);
+        split.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), 1_000_000 * SECOND);
         assertThat(split.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(6);
         assertThat(split.range(LatencyClass.DELAY_TOLERANT, 12).from()).isLessThan(9);
     }
@@ -64,8 +64,8 @@
         EnginePartition one = new EnginePartition();
         EnginePartition other = new EnginePartition();
         for (int i = 0; i < 100; i++) {
-            one.arrived(prompt(LatencyClass.DELAY_TOLERANT), SECOND);
-            other.arrived(prompt(LatencyClass.GAP_SENSITIVE), SECOND);
+            one.recordArrival(prompt(LatencyClass.DELAY_TOLERANT), SECOND);
+            other.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), SECOND);
         }
         one.recordPeerWork("other", true, other.localWork(), SECOND);
         other.recordPeerWork("one", true, one.localWork(), SECOND);
@@ -79,7 +79,7 @@
         EnginePartition split = new EnginePartition();
         split.recordPeerWork("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
         EnginePartition.Range before = split.range(LatencyClass.GAP_SENSITIVE, 12);
-        split.arrived(prompt(LatencyClass.DELAY_TOLERANT), 20 * SECOND);
+        split.recordArrival(prompt(LatencyClass.DELAY_TOLERANT), 20 * SECOND);
         assertThat(split.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(before.to());
     }
 
