--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -94,8 +94,8 @@
     /** Names of the other processes that are not known to be dead. */
     private List<String> others = List.of();
 
-    private final List<CachedPrefixes.Place> reportedPlaces = new ArrayList<>();
-    private final List<CachedPrefixes.Place> gatheredPlaces = new ArrayList<>();
+    private final List<CachedPrefixes.PartLocation> reportedPlaces = new ArrayList<>();
+    private final List<CachedPrefixes.PartLocation> gatheredPlaces = new ArrayList<>();
     private String collector = "";
     private long collectorNanos;
     private final Map<String, Told> lastTold = new HashMap<>();
@@ -180,7 +180,7 @@
     /** A small fleet: everybody tells everybody. */
     private void tellAll(long now) {
         Map<Integer, PeerLoads.Load> own = state.workers().own(now);
-        List<CachedPrefixes.Place> places = state.prefixes().takeUntold();
+        List<CachedPrefixes.PartLocation> places = state.prefixes().takeUntold();
         if (!due(ALL, own, places, now)) {
             return;
         }
@@ -190,7 +190,7 @@
 
     /** Whether a receiver is to be told now; if so, that is noted as done. */
     private boolean due(
-            String receiver, Map<Integer, PeerLoads.Load> loads, List<CachedPrefixes.Place> places, long now) {
+            String receiver, Map<Integer, PeerLoads.Load> loads, List<CachedPrefixes.PartLocation> places, long now) {
         Told last = lastTold.get(receiver);
         boolean due = last == null
                 || !places.isEmpty()
@@ -206,7 +206,7 @@
 
     private void tellByPlan(long now) {
         reporters.values().removeIf(heard -> now - heard > SILENT_MILLIS * NANOS_PER_MILLI);
-        List<CachedPrefixes.Place> places = state.prefixes().takeUntold();
+        List<CachedPrefixes.PartLocation> places = state.prefixes().takeUntold();
         Optional<String> to = plan.collectorOf(avoided(now));
         if (to.isPresent()) {
             Map<Integer, PeerLoads.Load> own = state.workers().own(now);
@@ -260,7 +260,7 @@
             FleetProtos.LoadReport.Kind kind,
             Map<Integer, PeerLoads.Load> loads,
             String receiver,
-            List<CachedPrefixes.Place> places,
+            List<CachedPrefixes.PartLocation> places,
             long now) {
         FleetProtos.LoadReport.Builder report = FleetProtos.LoadReport.newBuilder()
                 .setKind(kind)
@@ -348,7 +348,7 @@
         boolean direct = plan == null || plan.direct();
         int count = Math.min(report.getPartsCount(), report.getPartWorkersCount());
         for (int i = 0; i < count; i++) {
-            CachedPrefixes.Place place = new CachedPrefixes.Place(report.getParts(i), report.getPartWorkers(i));
+            CachedPrefixes.PartLocation place = new CachedPrefixes.PartLocation(report.getParts(i), report.getPartWorkers(i));
             state.prefixes().told(place, now);
             if (!direct && scope == PeerLoads.Scope.OWN) {
                 reportedPlaces.add(place);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
@@ -40,7 +40,7 @@
         }
     };
 
-    private List<Place> untold = new ArrayList<>();
+    private List<PartLocation> untold = new ArrayList<>();
 
     /**
      * A part that a worker has read.
@@ -48,7 +48,7 @@
      * @param part hash of the part's name
      * @param worker the worker's incarnation
      */
-    public record Place(int part, int worker) {}
+    public record PartLocation(int part, int worker) {}
 
     private record Use(long sinceNanos, long usedNanos, long toldNanos) {}
 
@@ -62,7 +62,7 @@
     public void sent(Prompt prompt, int worker, long nowNanos) {
         int shared = prompt.parts().size() - 1;
         for (int i = 0; i < shared; i++) {
-            Place place = new Place(prompt.parts().get(i).id().hashCode(), worker);
+            PartLocation place = new PartLocation(prompt.parts().get(i).id().hashCode(), worker);
             Map<Integer, Use> uses = uses(place.part(), nowNanos);
             Use before = uses.get(place.worker());
             boolean tell = before == null || nowNanos - before.toldNanos() > TOLD_AGAIN_NANOS;
@@ -80,7 +80,7 @@
      * @param place the part and the worker
      * @param nowNanos the time
      */
-    public void told(Place place, long nowNanos) {
+    public void told(PartLocation place, long nowNanos) {
         Map<Integer, Use> uses = uses(place.part(), nowNanos);
         Use before = uses.get(place.worker());
         long since = before == null ? nowNanos : before.sinceNanos();
@@ -92,8 +92,8 @@
      *
      * @return the places, once each
      */
-    public List<Place> takeUntold() {
-        List<Place> taken = untold;
+    public List<PartLocation> takeUntold() {
+        List<PartLocation> taken = untold;
         untold = new ArrayList<>();
         return taken;
     }
