--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -144,7 +144,7 @@
         Prompt prompt = call.terms().prompt().orElseThrow();
         call.sending(worker.entry().id(), nowNanos);
         double prefill = prompt.prefillMillis(engine.cachedTokens());
-        state.prefixes().sent(prompt, worker.entry().incarnation(), nowNanos);
+        state.prefixes().recordSent(prompt, worker.entry().incarnation(), nowNanos);
         if (prompt.latencyClass() == LatencyClass.DELAY_TOLERANT) {
             model(call).recordDispatch(prefill, prompt.outputTokens());
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
@@ -59,7 +59,7 @@
      * @param worker the worker's incarnation
      * @param nowNanos the time
      */
-    public void sent(Prompt prompt, int worker, long nowNanos) {
+    public void recordSent(Prompt prompt, int worker, long nowNanos) {
         int shared = prompt.parts().size() - 1;
         for (int i = 0; i < shared; i++) {
             PartLocation place = new PartLocation(prompt.parts().get(i).id().hashCode(), worker);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void partsCountUpToTheFirstThatTheWorkerHasNotRead() {
-        prefixes.sent(prompt("a", "b"), 1, SECOND);
+        prefixes.recordSent(prompt("a", "b"), 1, SECOND);
         assertThat(prefixes.cachedTokens(prompt("a", "b"), 1, SECOND)).isEqualTo(200);
         assertThat(prefixes.cachedTokens(prompt("a", "c"), 1, SECOND)).isEqualTo(100);
         assertThat(prefixes.cachedTokens(prompt("c", "b"), 1, SECOND)).isZero();
@@ -25,7 +25,7 @@
     @Test
     void whatOneProcessHasSentAnotherOneKnows() {
         CachedPrefixes peer = new CachedPrefixes();
-        prefixes.sent(prompt("a", "b"), 1, SECOND);
+        prefixes.recordSent(prompt("a", "b"), 1, SECOND);
         prefixes.takeUntold().forEach(place -> peer.told(place, SECOND));
         assertThat(peer.cachedTokens(prompt("a", "b"), 1, SECOND)).isEqualTo(200);
         assertThat(peer.readSomewhere("b", SECOND)).isTrue();
@@ -34,17 +34,17 @@
 
     @Test
     void aPlaceIsToldOnceUntilTheNewsOfItGetsOld() {
-        prefixes.sent(prompt("a", "b"), 1, SECOND);
+        prefixes.recordSent(prompt("a", "b"), 1, SECOND);
         assertThat(prefixes.takeUntold()).hasSize(2);
-        prefixes.sent(prompt("a", "b"), 1, 2 * SECOND);
+        prefixes.recordSent(prompt("a", "b"), 1, 2 * SECOND);
         assertThat(prefixes.takeUntold()).isEmpty();
-        prefixes.sent(prompt("a", "b"), 1, 10 * SECOND);
+        prefixes.recordSent(prompt("a", "b"), 1, 10 * SECOND);
         assertThat(prefixes.takeUntold()).hasSize(2);
     }
 
     @Test
     void aPartThatWasNotUsedForLongIsForgotten() {
-        prefixes.sent(prompt("a", "b"), 1, SECOND);
+        prefixes.recordSent(prompt("a", "b"), 1, SECOND);
         assertThat(prefixes.readSomewhere("a", 20 * SECOND)).isTrue();
         assertThat(prefixes.readSomewhere("a", 40 * SECOND)).isFalse();
         assertThat(prefixes.cachedTokens(prompt("a", "b"), 1, 40 * SECOND)).isZero();
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -120,7 +120,7 @@
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("part", LatencyClass.DELAY_TOLERANT);
         String first = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.sent(prompt, first.hashCode(), SECOND);
+        prefixes.recordSent(prompt, first.hashCode(), SECOND);
         EnginePartition changed = new EnginePartition();
         changed.recordPeerWork("peer", true, new LatencyClassWork(new double[] {20_000, 20_000, 1_000}), SECOND);
         EngineSelector after = new EngineSelector("dc", prefixes, changed, TransferCost.unsupported(), new Random(3));
@@ -139,7 +139,7 @@
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("part", LatencyClass.START_SENSITIVE);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.sent(prompt, home.hashCode(), SECOND);
+        prefixes.recordSent(prompt, home.hashCode(), SECOND);
         assertThat(prefixes.cachedTokens(prompt, home.hashCode(), 2 * SECOND)).isEqualTo(13_000);
         assertThat(prefixes.cachedTokens(prompt, home.hashCode(), 100 * SECOND)).isZero();
     }
@@ -151,7 +151,7 @@
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.sent(prompt, home.hashCode(), SECOND);
+        prefixes.recordSent(prompt, home.hashCode(), SECOND);
         List<WorkerLoad> busy = withLoad(engines, home, 20, 3_000, false);
         assertThat(fetching().choose(prompt, busy, Integer.MAX_VALUE, 3 * SECOND))
                 .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
@@ -166,7 +166,7 @@
     void nothingIsFetchedThatMayNotHaveBeenReadYet() {
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
-        prefixes.sent(prompt, engines.get(0).incarnation(), 3 * SECOND);
+        prefixes.recordSent(prompt, engines.get(0).incarnation(), 3 * SECOND);
         List<WorkerLoad> busy = withLoad(engines, engines.get(0).id(), 20, 3_000, false);
         assertThat(source(prompt, busy, 3 * SECOND + SECOND / 10)).isEmpty();
         assertThat(source(prompt, busy, 5 * SECOND)).isPresent();
@@ -177,7 +177,7 @@
     void nothingIsFetchedFromASuspectedEngine() {
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
-        prefixes.sent(prompt, engines.get(0).incarnation(), SECOND);
+        prefixes.recordSent(prompt, engines.get(0).incarnation(), SECOND);
         List<WorkerLoad> suspected = withLoad(engines, engines.get(0).id(), 0, 0, true);
         assertThat(source(prompt, suspected, 3 * SECOND)).isEmpty();
     }
@@ -187,7 +187,7 @@
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("part", LatencyClass.DELAY_TOLERANT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.sent(prompt, home.hashCode(), SECOND);
+        prefixes.recordSent(prompt, home.hashCode(), SECOND);
         assertThat(fetching().choose(prompt, engines, Integer.MAX_VALUE, 3 * SECOND))
                 .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
                     assertThat(choice.id()).isEqualTo(home);
