--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -349,7 +349,7 @@
         int count = Math.min(report.getPartsCount(), report.getPartWorkersCount());
         for (int i = 0; i < count; i++) {
             CachedPrefixes.PartLocation place = new CachedPrefixes.PartLocation(report.getParts(i), report.getPartWorkers(i));
-            state.prefixes().told(place, now);
+            state.prefixes().recordPeerReport(place, now);
             if (!direct && scope == PeerLoads.Scope.OWN) {
                 reportedPlaces.add(place);
             } else if (!direct && scope == PeerLoads.Scope.GATHERED) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
@@ -80,7 +80,7 @@
      * @param place the part and the worker
      * @param nowNanos the time
      */
-    public void told(PartLocation place, long nowNanos) {
+    public void recordPeerReport(PartLocation place, long nowNanos) {
         Map<Integer, Use> uses = uses(place.part(), nowNanos);
         Use before = uses.get(place.worker());
         long since = before == null ? nowNanos : before.sinceNanos();
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
@@ -26,7 +26,7 @@
     void whatOneProcessHasSentAnotherOneKnows() {
         CachedPrefixes peer = new CachedPrefixes();
         prefixes.recordSent(prompt("a", "b"), 1, SECOND);
-        prefixes.takeUntold().forEach(place -> peer.told(place, SECOND));
+        prefixes.takeUntold().forEach(place -> peer.recordPeerReport(place, SECOND));
         assertThat(peer.cachedTokens(prompt("a", "b"), 1, SECOND)).isEqualTo(200);
         assertThat(peer.readSomewhere("b", SECOND)).isTrue();
         assertThat(peer.takeUntold()).isEmpty();
