--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -180,7 +180,7 @@
     /** A small fleet: everybody tells everybody. */
     private void tellAll(long now) {
         Map<Integer, PeerLoads.Load> own = state.workers().own(now);
-        List<CachedPrefixes.PartLocation> places = state.prefixes().takeUntold();
+        List<CachedPrefixes.PartLocation> places = state.prefixes().drainUnreported();
         if (!due(ALL, own, places, now)) {
             return;
         }
@@ -206,7 +206,7 @@
 
     private void tellByPlan(long now) {
         reporters.values().removeIf(heard -> now - heard > SILENT_MILLIS * NANOS_PER_MILLI);
-        List<CachedPrefixes.PartLocation> places = state.prefixes().takeUntold();
+        List<CachedPrefixes.PartLocation> places = state.prefixes().drainUnreported();
         Optional<String> to = plan.collectorOf(avoided(now));
         if (to.isPresent()) {
             Map<Integer, PeerLoads.Load> own = state.workers().own(now);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
@@ -92,7 +92,7 @@
      *
      * @return the places, once each
      */
-    public List<PartLocation> takeUntold() {
+    public List<PartLocation> drainUnreported() {
         List<PartLocation> taken = untold;
         untold = new ArrayList<>();
         return taken;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
@@ -26,20 +26,20 @@
     void whatOneProcessHasSentAnotherOneKnows() {
         CachedPrefixes peer = new CachedPrefixes();
         prefixes.recordSent(prompt("a", "b"), 1, SECOND);
-        prefixes.takeUntold().forEach(place -> peer.recordPeerReport(place, SECOND));
+        prefixes.drainUnreported().forEach(place -> peer.recordPeerReport(place, SECOND));
         assertThat(peer.cachedTokens(prompt("a", "b"), 1, SECOND)).isEqualTo(200);
         assertThat(peer.readSomewhere("b", SECOND)).isTrue();
-        assertThat(peer.takeUntold()).isEmpty();
+        assertThat(peer.drainUnreported()).isEmpty();
     }
 
     @Test
     void aPlaceIsToldOnceUntilTheNewsOfItGetsOld() {
         prefixes.recordSent(prompt("a", "b"), 1, SECOND);
-        assertThat(prefixes.takeUntold()).hasSize(2);
+        assertThat(prefixes.drainUnreported()).hasSize(2);
         prefixes.recordSent(prompt("a", "b"), 1, 2 * SECOND);
-        assertThat(prefixes.takeUntold()).isEmpty();
+        assertThat(prefixes.drainUnreported()).isEmpty();
         prefixes.recordSent(prompt("a", "b"), 1, 10 * SECOND);
-        assertThat(prefixes.takeUntold()).hasSize(2);
+        assertThat(prefixes.drainUnreported()).hasSize(2);
     }
 
     @Test
