--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
@@ -111,7 +111,7 @@
      * @param nowNanos the time
      * @return false if it has to be read anew wherever its prompt goes
      */
-    public boolean readSomewhere(String part, long nowNanos) {
+    public boolean isCachedAnywhere(String part, long nowNanos) {
         Map<Integer, Use> uses = usesByPart.get(part.hashCode());
         return uses != null && uses.values().stream().anyMatch(use -> nowNanos - use.usedNanos() <= KEPT_NANOS);
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -135,7 +135,7 @@
         // would differ for every part.
         List<String> homes = homes(prompt, ranked.subList(range.from(), range.to()), anySound);
         boolean read = prompt.lastSharedPart()
-                .filter(part -> prefixes.readSomewhere(part.id(), nowNanos))
+                .filter(part -> prefixes.isCachedAnywhere(part.id(), nowNanos))
                 .isPresent();
         Optional<Source> source = source(prompt, ranked, nowNanos);
         SelectionResult.Selected best = null;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
@@ -28,7 +28,7 @@
         prefixes.recordSent(prompt("a", "b"), 1, SECOND);
         prefixes.drainUnreported().forEach(place -> peer.recordPeerReport(place, SECOND));
         assertThat(peer.cachedTokens(prompt("a", "b"), 1, SECOND)).isEqualTo(200);
-        assertThat(peer.readSomewhere("b", SECOND)).isTrue();
+        assertThat(peer.isCachedAnywhere("b", SECOND)).isTrue();
         assertThat(peer.drainUnreported()).isEmpty();
     }
 
@@ -45,8 +45,8 @@
     @Test
     void aPartThatWasNotUsedForLongIsForgotten() {
         prefixes.recordSent(prompt("a", "b"), 1, SECOND);
-        assertThat(prefixes.readSomewhere("a", 20 * SECOND)).isTrue();
-        assertThat(prefixes.readSomewhere("a", 40 * SECOND)).isFalse();
+        assertThat(prefixes.isCachedAnywhere("a", 20 * SECOND)).isTrue();
+        assertThat(prefixes.isCachedAnywhere("a", 40 * SECOND)).isFalse();
         assertThat(prefixes.cachedTokens(prompt("a", "b"), 1, 40 * SECOND)).isZero();
     }
 
