--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
@@ -137,7 +137,7 @@
      * @param nowNanos the time
      * @return tokens
      */
-    public int settledTokens(Prompt prompt, int worker, long nowNanos) {
+    public int fetchableTokens(Prompt prompt, int worker, long nowNanos) {
         return tokens(
                 prompt,
                 worker,
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -169,7 +169,7 @@
     private Optional<Source> source(Prompt prompt, List<WorkerLoad> workers, long nowNanos) {
         Source most = new Source("", 0);
         for (WorkerLoad worker : workers) {
-            int tokens = worker.suspected() ? 0 : prefixes.settledTokens(prompt, worker.incarnation(), nowNanos);
+            int tokens = worker.suspected() ? 0 : prefixes.fetchableTokens(prompt, worker.incarnation(), nowNanos);
             most = tokens > most.tokens() ? new Source(worker.id(), tokens) : most;
         }
         return most.tokens() == 0 || transfer.millisPerToken() == Double.POSITIVE_INFINITY
