--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
@@ -70,7 +70,7 @@
             byIncarnation.put(current.incarnation(), current);
             changed = true;
         }
-        current.coldPeriod().told(entry.coldMillis(), nowNanos);
+        current.coldPeriod().recordReport(entry.coldMillis(), nowNanos);
     }
 
     /**
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
@@ -22,7 +22,7 @@
      * @param millis the time; 0 if it is not
      * @param nowNanos the time of its word
      */
-    public void told(long millis, long nowNanos) {
+    public void recordReport(long millis, long nowNanos) {
         told = millis > 0;
         toldUntilNanos = nowNanos + millis * NANOS_PER_MILLI;
     }
