--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -69,7 +69,7 @@
      * @param nowNanos the time
      */
     public void notReached(long nowNanos) {
-        worker.coldPeriod().assume(nowNanos);
+        worker.coldPeriod().assumeRestarted(nowNanos);
         worker.trust().notReached(nowNanos);
         worker.outcomes().failed(nowNanos);
     }
@@ -100,7 +100,7 @@
      * @param nowNanos the time
      */
     public void failed(long nowNanos) {
-        worker.coldPeriod().assume(nowNanos);
+        worker.coldPeriod().assumeRestarted(nowNanos);
         worker.trust().failed(nowNanos);
         worker.outcomes().failed(nowNanos);
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
@@ -106,7 +106,7 @@
     public boolean takenBack(String dataCentre, long nowNanos) {
         byId.values().stream()
                 .filter(each -> each.entry().dataCentre().equals(dataCentre))
-                .forEach(each -> each.coldPeriod().assume(nowNanos));
+                .forEach(each -> each.coldPeriod().assumeRestarted(nowNanos));
         return evacuated.remove(dataCentre);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
@@ -32,7 +32,7 @@
      *
      * @param nowNanos the time
      */
-    public void assume(long nowNanos) {
+    public void assumeRestarted(long nowNanos) {
         assumed = true;
         assumedNanos = nowNanos;
     }
