--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -91,7 +91,7 @@
 
     /** Whether this process may send it a request now. */
     SendPermission intake(ColdStart coldStart, OptionalDouble limit, ShareHolders holders, long nowNanos) {
-        boolean cold = coldPeriod.cold(coldStart, nowNanos);
+        boolean cold = coldPeriod.isCold(coldStart, nowNanos);
         if (!cold && limit.isEmpty()) {
             return SendPermission.UNLIMITED;
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
@@ -44,7 +44,7 @@
      * @param nowNanos the time
      * @return true until both its own time and that of the last sign are over
      */
-    public boolean cold(ColdStart coldStart, long nowNanos) {
+    public boolean isCold(ColdStart coldStart, long nowNanos) {
         return coldStart.bounded()
                 && (told && nowNanos - toldUntilNanos < 0
                         || assumed && nowNanos - assumedNanos < coldStart.millis() * NANOS_PER_MILLI);
