--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStart.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStart.java
@@ -19,7 +19,7 @@
      *
      * @return false if nothing is to be heeded
      */
-    public boolean bounded() {
+    public boolean hasRateLimit() {
         return millis > 0 && perSecond > 0;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
@@ -45,7 +45,7 @@
      * @return true until both its own time and that of the last sign are over
      */
     public boolean isCold(ColdStart coldStart, long nowNanos) {
-        return coldStart.bounded()
+        return coldStart.hasRateLimit()
                 && (told && nowNanos - toldUntilNanos < 0
                         || assumed && nowNanos - assumedNanos < coldStart.millis() * NANOS_PER_MILLI);
     }
