--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -60,7 +60,7 @@
      */
     public void succeeded(long nowNanos) {
         worker.trust().succeeded(nowNanos);
-        worker.outcomes().succeeded(nowNanos);
+        worker.outcomes().recordSuccess(nowNanos);
     }
 
     /**
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
@@ -23,7 +23,7 @@
      *
      * @param nowNanos the time
      */
-    public void succeeded(long nowNanos) {
+    public void recordSuccess(long nowNanos) {
         fade(nowNanos);
         succeeded++;
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
@@ -12,7 +12,7 @@
 
     @Test
     void countsFadeByHalfInThreeSeconds() {
-        outcomes.succeeded(SECOND);
+        outcomes.recordSuccess(SECOND);
         outcomes.failed(SECOND);
         outcomes.failed(SECOND);
         assertThat(outcomes.failedLately(4 * SECOND)).isCloseTo(1, within(0.001));
