--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -71,7 +71,7 @@
     public void notReached(long nowNanos) {
         worker.coldPeriod().assumeRestarted(nowNanos);
         worker.trust().notReached(nowNanos);
-        worker.outcomes().failed(nowNanos);
+        worker.outcomes().recordFailure(nowNanos);
     }
 
     /**
@@ -81,7 +81,7 @@
      */
     public void failedByAnswer(long nowNanos) {
         worker.trust().failedByAnswer(nowNanos);
-        worker.outcomes().failed(nowNanos);
+        worker.outcomes().recordFailure(nowNanos);
     }
 
     /**
@@ -102,6 +102,6 @@
     public void failed(long nowNanos) {
         worker.coldPeriod().assumeRestarted(nowNanos);
         worker.trust().failed(nowNanos);
-        worker.outcomes().failed(nowNanos);
+        worker.outcomes().recordFailure(nowNanos);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
@@ -33,7 +33,7 @@
      *
      * @param nowNanos the time
      */
-    public void failed(long nowNanos) {
+    public void recordFailure(long nowNanos) {
         fade(nowNanos);
         failed++;
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
@@ -13,8 +13,8 @@
     @Test
     void countsFadeByHalfInThreeSeconds() {
         outcomes.recordSuccess(SECOND);
-        outcomes.failed(SECOND);
-        outcomes.failed(SECOND);
+        outcomes.recordFailure(SECOND);
+        outcomes.recordFailure(SECOND);
         assertThat(outcomes.failedLately(4 * SECOND)).isCloseTo(1, within(0.001));
         assertThat(outcomes.succeededLately(7 * SECOND)).isCloseTo(0.25, within(0.001));
     }
