--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -81,7 +81,7 @@
                 inFlight,
                 interactive,
                 prefillMillis,
-                outcomes.succeededLately(nowNanos),
+                outcomes.recentSuccesses(nowNanos),
                 outcomes.failedLately(nowNanos));
     }
 
@@ -108,7 +108,7 @@
     /** Whether all processes together have seen it fail too often. */
     boolean suspectedByAll(long nowNanos) {
         return sharedSuspicion.judge(
-                outcomes.succeededLately(nowNanos) + others.succeeded(),
+                outcomes.recentSuccesses(nowNanos) + others.succeeded(),
                 outcomes.failedLately(nowNanos) + others.failed());
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
@@ -44,7 +44,7 @@
      * @param nowNanos the time
      * @return their faded count
      */
-    public double succeededLately(long nowNanos) {
+    public double recentSuccesses(long nowNanos) {
         fade(nowNanos);
         return succeeded;
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
@@ -16,6 +16,6 @@
         outcomes.recordFailure(SECOND);
         outcomes.recordFailure(SECOND);
         assertThat(outcomes.failedLately(4 * SECOND)).isCloseTo(1, within(0.001));
-        assertThat(outcomes.succeededLately(7 * SECOND)).isCloseTo(0.25, within(0.001));
+        assertThat(outcomes.recentSuccesses(7 * SECOND)).isCloseTo(0.25, within(0.001));
     }
 }
