--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -82,7 +82,7 @@
                 interactive,
                 prefillMillis,
                 outcomes.recentSuccesses(nowNanos),
-                outcomes.failedLately(nowNanos));
+                outcomes.recentFailures(nowNanos));
     }
 
     ColdStartTracker coldPeriod() {
@@ -109,7 +109,7 @@
     boolean suspectedByAll(long nowNanos) {
         return sharedSuspicion.judge(
                 outcomes.recentSuccesses(nowNanos) + others.succeeded(),
-                outcomes.failedLately(nowNanos) + others.failed());
+                outcomes.recentFailures(nowNanos) + others.failed());
     }
 
     void begin(boolean isInteractive, double prefill, long nowNanos) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
@@ -55,7 +55,7 @@
      * @param nowNanos the time
      * @return their faded count
      */
-    public double failedLately(long nowNanos) {
+    public double recentFailures(long nowNanos) {
         fade(nowNanos);
         return failed;
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
@@ -15,7 +15,7 @@
         outcomes.recordSuccess(SECOND);
         outcomes.recordFailure(SECOND);
         outcomes.recordFailure(SECOND);
-        assertThat(outcomes.failedLately(4 * SECOND)).isCloseTo(1, within(0.001));
+        assertThat(outcomes.recentFailures(4 * SECOND)).isCloseTo(1, within(0.001));
         assertThat(outcomes.recentSuccesses(7 * SECOND)).isCloseTo(0.25, within(0.001));
     }
 }
