--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -59,7 +59,7 @@
      * @param nowNanos the time
      */
     public void succeeded(long nowNanos) {
-        worker.trust().succeeded(nowNanos);
+        worker.trust().recordSuccess(nowNanos);
         worker.outcomes().recordSuccess(nowNanos);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
@@ -38,7 +38,7 @@
      *
      * @param nowNanos the time
      */
-    public void succeeded(long nowNanos) {
+    public void recordSuccess(long nowNanos) {
         failuresInRow = 0;
         failingShare *= 1 - NEWEST;
         if (failingShare < FAILING_SHARE / 2) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
@@ -34,7 +34,7 @@
             if (i % 7 == 0) {
                 trust.failedByAnswer(i);
             } else {
-                trust.succeeded(i);
+                trust.recordSuccess(i);
             }
             assertThat(trust.suspected(i + 1)).isFalse();
         }
@@ -45,7 +45,7 @@
     void aWorkerThatFailsEverySecondRequestIsLeftOut() {
         for (int i = 0; i < 40; i++) {
             trust.failedByAnswer(i);
-            trust.succeeded(i);
+            trust.recordSuccess(i);
         }
         trust.failedByAnswer(40);
         assertThat(trust.suspected(41)).isTrue();
@@ -56,7 +56,7 @@
         trust.notReached(0);
         trust.notReached(SECOND);
         assertThat(trust.suspected(SECOND + 900_000_000L)).isTrue();
-        trust.succeeded(3 * SECOND);
+        trust.recordSuccess(3 * SECOND);
         assertThat(trust.suspected(3 * SECOND)).isFalse();
     }
 }
