--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -91,7 +91,7 @@
      * @param nowNanos the time
      */
     public void refused(long nowNanos) {
-        worker.trust().failed(nowNanos);
+        worker.trust().recordFailure(nowNanos);
     }
 
     /**
@@ -101,7 +101,7 @@
      */
     public void failed(long nowNanos) {
         worker.coldPeriod().assumeRestarted(nowNanos);
-        worker.trust().failed(nowNanos);
+        worker.trust().recordFailure(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
@@ -52,7 +52,7 @@
      *
      * @param nowNanos the time
      */
-    public void failed(long nowNanos) {
+    public void recordFailure(long nowNanos) {
         failuresInRow++;
         failedByAnswer(nowNanos);
         if (failuresInRow >= FAILURES_IN_ROW) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
@@ -11,7 +11,7 @@
 
     @Test
     void oneFailureMayBeChance() {
-        trust.failed(0);
+        trust.recordFailure(0);
         assertThat(trust.suspected(1)).isFalse();
     }
 
