--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -80,7 +80,7 @@
      * @param nowNanos the time
      */
     public void failedByAnswer(long nowNanos) {
-        worker.trust().failedByAnswer(nowNanos);
+        worker.trust().recordErrorResponse(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
@@ -54,7 +54,7 @@
      */
     public void recordFailure(long nowNanos) {
         failuresInRow++;
-        failedByAnswer(nowNanos);
+        recordErrorResponse(nowNanos);
         if (failuresInRow >= FAILURES_IN_ROW) {
             suspect(nowNanos);
         }
@@ -65,7 +65,7 @@
      *
      * @param nowNanos the time
      */
-    public void failedByAnswer(long nowNanos) {
+    public void recordErrorResponse(long nowNanos) {
         failingShare = failingShare * (1 - NEWEST) + NEWEST;
         if (failingShare > FAILING_SHARE) {
             suspect(nowNanos);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
@@ -28,11 +28,11 @@
     // three workers would be left out again and again, and the others would queue.
     @Test
     void someFailuresOfItsOwnAreNoReasonToLeaveAWorkerOut() {
-        trust.failedByAnswer(0);
-        trust.failedByAnswer(0);
+        trust.recordErrorResponse(0);
+        trust.recordErrorResponse(0);
         for (int i = 0; i < 70; i++) {
             if (i % 7 == 0) {
-                trust.failedByAnswer(i);
+                trust.recordErrorResponse(i);
             } else {
                 trust.recordSuccess(i);
             }
@@ -44,10 +44,10 @@
     @Test
     void aWorkerThatFailsEverySecondRequestIsLeftOut() {
         for (int i = 0; i < 40; i++) {
-            trust.failedByAnswer(i);
+            trust.recordErrorResponse(i);
             trust.recordSuccess(i);
         }
-        trust.failedByAnswer(40);
+        trust.recordErrorResponse(40);
         assertThat(trust.suspected(41)).isTrue();
     }
 
