--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -70,7 +70,7 @@
      */
     public void notReached(long nowNanos) {
         worker.coldPeriod().assumeRestarted(nowNanos);
-        worker.trust().notReached(nowNanos);
+        worker.trust().recordConnectFailure(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
@@ -78,7 +78,7 @@
      *
      * @param nowNanos the time
      */
-    public void notReached(long nowNanos) {
+    public void recordConnectFailure(long nowNanos) {
         failuresInRow++;
         suspect(nowNanos);
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
@@ -18,7 +18,7 @@
     // A worker has crashed. Every further request would wait for a connection that never comes.
     @Test
     void aWorkerThatCannotBeReachedIsLeftOutAtOnce() {
-        trust.notReached(0);
+        trust.recordConnectFailure(0);
         assertThat(trust.suspected(1)).isTrue();
         assertThat(trust.suspected(SECOND)).isFalse();
     }
@@ -53,8 +53,8 @@
 
     @Test
     void aWorkerThatGoesOnFailingIsLeftOutForLongerEachTime() {
-        trust.notReached(0);
-        trust.notReached(SECOND);
+        trust.recordConnectFailure(0);
+        trust.recordConnectFailure(SECOND);
         assertThat(trust.suspected(SECOND + 900_000_000L)).isTrue();
         trust.recordSuccess(3 * SECOND);
         assertThat(trust.suspected(3 * SECOND)).isFalse();
