--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -153,7 +153,7 @@
                 inFlight + others.inFlight(),
                 interactive + others.interactive(),
                 prefillMillis + others.prefillMillis(),
-                suspectedByAll || trust.suspected(nowNanos),
+                suspectedByAll || trust.isSuspected(nowNanos),
                 intake);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
@@ -84,7 +84,7 @@
     }
 
     private void suspect(long nowNanos) {
-        if (!suspected(nowNanos)) {
+        if (!isSuspected(nowNanos)) {
             suspectedUntilNanos = nowNanos + pauseNanos;
             pauseNanos = Math.min(LONGEST_PAUSE_NANOS, 2 * pauseNanos);
         }
@@ -97,7 +97,7 @@
      * @param nowNanos the time
      * @return true while its pause lasts
      */
-    public boolean suspected(long nowNanos) {
+    public boolean isSuspected(long nowNanos) {
         return suspected && nowNanos - suspectedUntilNanos < 0;
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
@@ -12,15 +12,15 @@
     @Test
     void oneFailureMayBeChance() {
         trust.recordFailure(0);
-        assertThat(trust.suspected(1)).isFalse();
+        assertThat(trust.isSuspected(1)).isFalse();
     }
 
     // A worker has crashed. Every further request would wait for a connection that never comes.
     @Test
     void aWorkerThatCannotBeReachedIsLeftOutAtOnce() {
         trust.recordConnectFailure(0);
-        assertThat(trust.suspected(1)).isTrue();
-        assertThat(trust.suspected(SECOND)).isFalse();
+        assertThat(trust.isSuspected(1)).isTrue();
+        assertThat(trust.isSuspected(SECOND)).isFalse();
     }
 
     // A service answers every seventh request with a failure while nothing is wrong. If two in a row were enough, one
@@ -36,7 +36,7 @@
             } else {
                 trust.recordSuccess(i);
             }
-            assertThat(trust.suspected(i + 1)).isFalse();
+            assertThat(trust.isSuspected(i + 1)).isFalse();
         }
     }
 
@@ -48,15 +48,15 @@
             trust.recordSuccess(i);
         }
         trust.recordErrorResponse(40);
-        assertThat(trust.suspected(41)).isTrue();
+        assertThat(trust.isSuspected(41)).isTrue();
     }
 
     @Test
     void aWorkerThatGoesOnFailingIsLeftOutForLongerEachTime() {
         trust.recordConnectFailure(0);
         trust.recordConnectFailure(SECOND);
-        assertThat(trust.suspected(SECOND + 900_000_000L)).isTrue();
+        assertThat(trust.isSuspected(SECOND + 900_000_000L)).isTrue();
         trust.recordSuccess(3 * SECOND);
-        assertThat(trust.suspected(3 * SECOND)).isFalse();
+        assertThat(trust.isSuspected(3 * SECOND)).isFalse();
     }
 }
