--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -107,7 +107,7 @@
 
     /** Whether all processes together have seen it fail too often. */
     boolean suspectedByAll(long nowNanos) {
-        return sharedSuspicion.judge(
+        return sharedSuspicion.update(
                 outcomes.recentSuccesses(nowNanos) + others.succeeded(),
                 outcomes.recentFailures(nowNanos) + others.failed());
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/SharedSuspicion.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/SharedSuspicion.java
@@ -33,7 +33,7 @@
      * @param failed requests that lately failed there, of all processes
      * @return whether the worker should be left out
      */
-    public boolean judge(double succeeded, double failed) {
+    public boolean update(double succeeded, double failed) {
         double share = failed / Math.max(Double.MIN_NORMAL, failed + succeeded);
         if (failed >= LEAST_FAILED && share >= FAILING_SHARE) {
             suspected = true;
