--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -177,7 +177,7 @@
     public WindowedRetryBudget budget(String upstream) {
         return budgets.computeIfAbsent(upstream, name -> {
             WindowedRetryBudget budget = new WindowedRetryBudget(limit.ratio(), limit.extra(), limit.windowNanos());
-            budget.processes(processes);
+            budget.recordFleetSize(processes);
             return budget;
         });
     }
@@ -288,7 +288,7 @@
     public void processes(int count) {
         reachable = count;
         processes = Math.max(processes, count);
-        budgets.values().forEach(budget -> budget.processes(count));
+        budgets.values().forEach(budget -> budget.recordFleetSize(count));
     }
 
     /**
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WindowedRetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WindowedRetryBudget.java
@@ -40,7 +40,7 @@
      *
      * @param count processes, this one included
      */
-    public void processes(int count) {
+    public void recordFleetSize(int count) {
         processes = Math.max(processes, count);
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
@@ -25,7 +25,7 @@
         List<WindowedRetryBudget> fleet = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
             WindowedRetryBudget budget = new WindowedRetryBudget(RATIO, EXTRA, 10 * SECOND);
-            budget.processes(processes);
+            budget.recordFleetSize(processes);
             fleet.add(budget);
         }
         List<Long> requests = new ArrayList<>();
