--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -96,7 +96,7 @@
      */
     public Mono<Reply> forward(Call call) {
         return Mono.defer(() -> {
-            state.budget(call.terms().upstream().name()).request(loop.nowNanos());
+            state.budget(call.terms().upstream().name()).recordRequest(loop.nowNanos());
             selection.arrived(call, loop.nowNanos());
             return attempt(call, Optional.empty());
         });
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WindowedRetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WindowedRetryBudget.java
@@ -49,7 +49,7 @@
      *
      * @param nowNanos the time
      */
-    public void request(long nowNanos) {
+    public void recordRequest(long nowNanos) {
         forget(nowNanos);
         requests.addLast(nowNanos);
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
@@ -34,7 +34,7 @@
         for (int i = 0; i < gapsMillis.size(); i++) {
             now += gapsMillis.get(i) * 1_000_000L;
             WindowedRetryBudget budget = fleet.get(i * 7 % processes);
-            budget.request(now);
+            budget.recordRequest(now);
             requests.add(now);
             while (budget.take(now)) {
                 repeats.add(now);
