--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -251,7 +251,7 @@
     private boolean mayRepeat(Call call, long now) {
         return call.sends() < call.terms().route().maxAttempts()
                 && call.leftMillis(now) >= LEAST_LEFT_MILLIS
-                && state.budget(call.terms().upstream().name()).take(now);
+                && state.budget(call.terms().upstream().name()).tryAcquire(now);
     }
 
     private Flux<byte[]> relay(Call call, Placement placement, OpenAnswer open) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WindowedRetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WindowedRetryBudget.java
@@ -60,7 +60,7 @@
      * @param nowNanos the time
      * @return whether the request may be sent once more
      */
-    public boolean take(long nowNanos) {
+    public boolean tryAcquire(long nowNanos) {
         forget(nowNanos);
         if (repeats.size() + 1 > left()) {
             return false;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
@@ -36,7 +36,7 @@
             WindowedRetryBudget budget = fleet.get(i * 7 % processes);
             budget.recordRequest(now);
             requests.add(now);
-            while (budget.take(now)) {
+            while (budget.tryAcquire(now)) {
                 repeats.add(now);
             }
             long from = now - 10 * SECOND;
@@ -50,11 +50,11 @@
     void aSpentBudgetComesBackWithTime() {
         WindowedRetryBudget budget = new WindowedRetryBudget(0, 10, 10 * SECOND);
         int taken = 0;
-        while (budget.take(0)) {
+        while (budget.tryAcquire(0)) {
             taken++;
         }
         assertThat(taken).isEqualTo(8);
-        assertThat(budget.take(9 * SECOND)).isFalse();
-        assertThat(budget.take(11 * SECOND)).isTrue();
+        assertThat(budget.tryAcquire(9 * SECOND)).isFalse();
+        assertThat(budget.tryAcquire(11 * SECOND)).isTrue();
     }
 }
