--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
@@ -98,7 +98,8 @@
         UpstreamSpec upstream = table.upstream(route.upstreamFor(id));
         Optional<Prompt> prompt = upstream.engine()
                 ? dialect.prompt(
-                        headers, LatencyClass.of(route.gapTargetMillis(), route.targetMillis(), upstream.tokensPerEvent()))
+                        headers,
+                        LatencyClass.of(route.gapTargetMillis(), route.targetMillis(), upstream.tokensPerEvent()))
                 : Optional.empty();
         long waits = dialect.waitMillis(headers).orElse(route.timeoutMillis());
         long bound = Math.min(waits, route.timeoutMillis());
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -348,7 +348,8 @@
         boolean direct = plan == null || plan.direct();
         int count = Math.min(report.getPartsCount(), report.getPartWorkersCount());
         for (int i = 0; i < count; i++) {
-            CachedPrefixes.PartLocation place = new CachedPrefixes.PartLocation(report.getParts(i), report.getPartWorkers(i));
+            CachedPrefixes.PartLocation place =
+                    new CachedPrefixes.PartLocation(report.getParts(i), report.getPartWorkers(i));
             state.prefixes().recordPeerReport(place, now);
             if (!direct && scope == PeerLoads.Scope.OWN) {
                 reportedPlaces.add(place);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -82,7 +82,8 @@
 
     /** Whether a call's first event may come later than a long prompt is read. */
     static boolean patient(Call call) {
-        return call.terms().prompt().map(Prompt::latencyClass).orElse(LatencyClass.START_SENSITIVE) == LatencyClass.DELAY_TOLERANT;
+        return call.terms().prompt().map(Prompt::latencyClass).orElse(LatencyClass.START_SENSITIVE)
+                == LatencyClass.DELAY_TOLERANT;
     }
 
     /** Places a call, at once or when it is its turn. */
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -10,13 +10,13 @@
 import org.dotterelcourse.gateway.workers.Placement;
 import org.dotterelcourse.gateway.workers.WorkerState;
 import org.dotterelcourse.gateway.workers.Workers;
-import org.dotterelcourse.policy.selection.SelectionResult;
 import org.dotterelcourse.policy.selection.EngineModel;
-import org.dotterelcourse.policy.selection.EngineSelector;
 import org.dotterelcourse.policy.selection.EnginePartition;
-import org.dotterelcourse.policy.selection.LeastLoadedSelector;
+import org.dotterelcourse.policy.selection.EngineSelector;
 import org.dotterelcourse.policy.selection.LatencyClass;
+import org.dotterelcourse.policy.selection.LeastLoadedSelector;
 import org.dotterelcourse.policy.selection.Prompt;
+import org.dotterelcourse.policy.selection.SelectionResult;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
 /** Finds a worker for a call by the selectors of the policy, and keeps what they need to know. */
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/UpstreamSpec.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/UpstreamSpec.java
@@ -12,7 +12,8 @@
  * @param transfer what it takes an engine to fetch parts of prompts from another one
  * @param coldStart what its workers bear while they are cold
  */
-public record UpstreamSpec(String name, boolean engine, int tokensPerEvent, TransferCost transfer, ColdStart coldStart) {
+public record UpstreamSpec(
+        String name, boolean engine, int tokensPerEvent, TransferCost transfer, ColdStart coldStart) {
     /**
      * An upstream of plain services.
      *
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -2,13 +2,13 @@
 
 import java.util.OptionalDouble;
 
-import org.dotterelcourse.policy.cold.ColdStartTracker;
 import org.dotterelcourse.policy.cold.ColdStart;
+import org.dotterelcourse.policy.cold.ColdStartTracker;
 import org.dotterelcourse.policy.rate.RateShare;
 import org.dotterelcourse.policy.rate.SentWindow;
+import org.dotterelcourse.policy.repeat.LocalSuspicion;
 import org.dotterelcourse.policy.repeat.RecentOutcomes;
 import org.dotterelcourse.policy.repeat.SharedSuspicion;
-import org.dotterelcourse.policy.repeat.LocalSuspicion;
 import org.dotterelcourse.policy.selection.SendPermission;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SelectionOfSuspectsTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SelectionOfSuspectsTest.java
@@ -26,9 +26,13 @@
     private static final int ENGINES = 6;
     private static final int SUSPECTS = 4;
     private static final long NOW = 1_000_000_000_000L;
-    private static final UpstreamSpec UPSTREAM = new UpstreamSpec("llm", true, 2, TransferCost.unsupported(), ColdStart.none());
-    private static final Prompt PROMPT =
-            new Prompt(List.of(new Prompt.Part("shared", 13_300), new Prompt.Part("own", 100)), 13_400, 60, LatencyClass.START_SENSITIVE);
+    private static final UpstreamSpec UPSTREAM =
+            new UpstreamSpec("llm", true, 2, TransferCost.unsupported(), ColdStart.none());
+    private static final Prompt PROMPT = new Prompt(
+            List.of(new Prompt.Part("shared", 13_300), new Prompt.Part("own", 100)),
+            13_400,
+            60,
+            LatencyClass.START_SENSITIVE);
 
     private final GatewayState state = new GatewayState(new GatewayState.RepeatLimit(0.2, 50, 10_000_000_000L));
     private final Selection selection = new Selection("dc-a", state, new Random(20261203));
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -26,7 +26,8 @@
      * Engines for a pace beside its work. First events that are due within a second need engines that are idle for half
      * of the time.
      */
-    private static final Map<LatencyClass, Double> WEIGHT = Map.of(LatencyClass.GAP_SENSITIVE, 1.0, LatencyClass.START_SENSITIVE, 1.6, LatencyClass.DELAY_TOLERANT, 1.0);
+    private static final Map<LatencyClass, Double> WEIGHT = Map.of(
+            LatencyClass.GAP_SENSITIVE, 1.0, LatencyClass.START_SENSITIVE, 1.6, LatencyClass.DELAY_TOLERANT, 1.0);
 
     /** Assumed before anything came, and soon outweighed: milliseconds by pace. */
     private static final double[] FIRST_WORK = {220, 280, 500};
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -35,15 +35,20 @@
      * What it costs to leave the split with a whole prompt of the usual length, by pace: somewhat over half of the usual
      * latency targets (0.5, 0.8 and 2.5 s), so that a request goes elsewhere only where it would else be late.
      */
-    private static final Map<LatencyClass, Double> OTHER_SPLIT_MILLIS =
-            Map.of(LatencyClass.GAP_SENSITIVE, 300.0, LatencyClass.START_SENSITIVE, 480.0, LatencyClass.DELAY_TOLERANT, 1_500.0);
+    private static final Map<LatencyClass, Double> OTHER_SPLIT_MILLIS = Map.of(
+            LatencyClass.GAP_SENSITIVE,
+            300.0,
+            LatencyClass.START_SENSITIVE,
+            480.0,
+            LatencyClass.DELAY_TOLERANT,
+            1_500.0);
 
     /**
      * Prefill of a whole prompt of the usual length, by pace. One whose parts have been read there holds the streams up by
      * less, and costs as much less: when the split moves, parts are still used where they are and not read again.
      */
-    private static final Map<LatencyClass, Double> USUAL_MILLIS =
-            Map.of(LatencyClass.GAP_SENSITIVE, 24.0, LatencyClass.START_SENSITIVE, 170.0, LatencyClass.DELAY_TOLERANT, 350.0);
+    private static final Map<LatencyClass, Double> USUAL_MILLIS = Map.of(
+            LatencyClass.GAP_SENSITIVE, 24.0, LatencyClass.START_SENSITIVE, 170.0, LatencyClass.DELAY_TOLERANT, 350.0);
 
     /** What a request without a free slot waits at least: the shortest streams take about a second. */
     private static final double NO_SLOT_MILLIS = 1_000;
@@ -54,8 +59,8 @@
      * 6.3 and 13.3 thousand tokens) thereby outweigh a wait of 0.03, 0.3 and 1.5 s, within the usual latency targets (0.5,
      * 0.8 and 2 s).
      */
-    private static final Map<LatencyClass, Double> READ_AGAIN =
-            Map.of(LatencyClass.GAP_SENSITIVE, 4.0, LatencyClass.START_SENSITIVE, 2.0, LatencyClass.DELAY_TOLERANT, 6.0);
+    private static final Map<LatencyClass, Double> READ_AGAIN = Map.of(
+            LatencyClass.GAP_SENSITIVE, 4.0, LatencyClass.START_SENSITIVE, 2.0, LatencyClass.DELAY_TOLERANT, 6.0);
 
     /**
      * How much more it weighs to read parts at an engine that is not one of their homes. It bounds the engines that read
@@ -100,7 +105,11 @@
      * @param random breaks ties
      */
     public EngineSelector(
-            String dataCentre, CachedPrefixes prefixes, EnginePartition split, TransferCost transfer, RandomGenerator random) {
+            String dataCentre,
+            CachedPrefixes prefixes,
+            EnginePartition split,
+            TransferCost transfer,
+            RandomGenerator random) {
         this.dataCentre = dataCentre;
         this.prefixes = prefixes;
         this.split = split;
@@ -218,7 +227,8 @@
     private double fetching(Prompt prompt, int tokens) {
         return tokens <= 0
                 ? 0
-                : transfer.millis(tokens) + FETCH * READ_AGAIN.get(prompt.latencyClass()) * tokens / PREFILL_TOKENS_PER_MILLI;
+                : transfer.millis(tokens)
+                        + FETCH * READ_AGAIN.get(prompt.latencyClass()) * tokens / PREFILL_TOKENS_PER_MILLI;
     }
 
     private static double outside(Prompt prompt, int cached) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClassWork.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClassWork.java
@@ -20,7 +20,8 @@
     }
 
     LatencyClassWork faded(double factor) {
-        return new LatencyClassWork(Arrays.stream(millis).map(each -> each * factor).toArray());
+        return new LatencyClassWork(
+                Arrays.stream(millis).map(each -> each * factor).toArray());
     }
 
     LatencyClassWork with(LatencyClass latencyClass, double more) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -43,8 +43,8 @@
         List<WorkerLoad> engines = idle(ENGINES);
         for (int i = 0; i < 200; i++) {
             LatencyClass latencyClass = i % 2 == 0 ? LatencyClass.DELAY_TOLERANT : LatencyClass.GAP_SENSITIVE;
-            String engine =
-                    selector.select(prompt("p" + i, latencyClass), engines, SECOND).orElseThrow();
+            String engine = selector.select(prompt("p" + i, latencyClass), engines, SECOND)
+                    .orElseThrow();
             assertThat(users.putIfAbsent(engine, latencyClass)).isIn(null, latencyClass);
         }
     }
@@ -130,8 +130,10 @@
     @Test
     void suspectedEnginesAreUsedWhereThereAreNoOthers() {
         List<WorkerLoad> engines = List.of(load("a", "10.0.0.1:1", 0, 0, true), load("b", "10.0.0.2:1", 0, 0, true));
-        assertThat(selector.select(prompt("p", LatencyClass.START_SENSITIVE), engines, SECOND)).isPresent();
-        assertThat(selector.select(prompt("p", LatencyClass.START_SENSITIVE), List.of(), SECOND)).isEmpty();
+        assertThat(selector.select(prompt("p", LatencyClass.START_SENSITIVE), engines, SECOND))
+                .isPresent();
+        assertThat(selector.select(prompt("p", LatencyClass.START_SENSITIVE), List.of(), SECOND))
+                .isEmpty();
     }
 
     @Test
@@ -246,7 +248,11 @@
             }
         }
         assertThat(selector(1, new CachedPrefixes())
-                        .choose(prompt("p", LatencyClass.START_SENSITIVE), closed(idle(1), "engine-0"), Integer.MAX_VALUE, 0))
+                        .choose(
+                                prompt("p", LatencyClass.START_SENSITIVE),
+                                closed(idle(1), "engine-0"),
+                                Integer.MAX_VALUE,
+                                0))
                 .isInstanceOf(SelectionResult.NoCapacity.class);
     }
 
@@ -276,7 +282,10 @@
 
     private static Prompt prompt(String part, LatencyClass latencyClass) {
         return new Prompt(
-                List.of(new Prompt.Part(part, 13_000), new Prompt.Part(part + "-own", 1_000)), 14_000, 100, latencyClass);
+                List.of(new Prompt.Part(part, 13_000), new Prompt.Part(part + "-own", 1_000)),
+                14_000,
+                100,
+                latencyClass);
     }
 
     private static List<WorkerLoad> idle(int count) {
@@ -288,6 +297,7 @@
     }
 
     private static WorkerLoad load(String id, String address, int inFlight, double prefill, boolean suspected) {
-        return new WorkerLoad(id, id.hashCode(), address, "dc", 64, inFlight, 0, prefill, suspected, SendPermission.UNLIMITED);
+        return new WorkerLoad(
+                id, id.hashCode(), address, "dc", 64, inFlight, 0, prefill, suspected, SendPermission.UNLIMITED);
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
@@ -52,10 +52,20 @@
 
     private static WorkerLoad load(String id, String dataCentre, int slots, int inFlight, boolean suspected) {
         return new WorkerLoad(
-                id, id.hashCode(), "10.0.0.1:1", dataCentre, slots, inFlight, 0, 0, suspected, SendPermission.UNLIMITED);
+                id,
+                id.hashCode(),
+                "10.0.0.1:1",
+                dataCentre,
+                slots,
+                inFlight,
+                0,
+                0,
+                suspected,
+                SendPermission.UNLIMITED);
     }
 
-    private static WorkerLoad load(String id, String dataCentre, int inFlight, boolean suspected, SendPermission state) {
+    private static WorkerLoad load(
+            String id, String dataCentre, int inFlight, boolean suspected, SendPermission state) {
         return new WorkerLoad(id, id.hashCode(), "10.0.0.1:1", dataCentre, 6, inFlight, 0, 0, suspected, state);
     }
 }
