--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -19,10 +19,10 @@
 import org.dotterelcourse.policy.quarantine.RequestQuarantine;
 import org.dotterelcourse.policy.rate.LimitNotice;
 import org.dotterelcourse.policy.rate.WorkerLimits;
-import org.dotterelcourse.policy.repeat.RepeatBudget;
+import org.dotterelcourse.policy.repeat.WindowedRetryBudget;
 import org.dotterelcourse.policy.selection.CachedPrefixes;
 import org.dotterelcourse.policy.selection.EngineModel;
-import org.dotterelcourse.policy.selection.EngineSplit;
+import org.dotterelcourse.policy.selection.EnginePartition;
 
 /** What the gateway believes: the routing table in force, the workers, the budgets. Used on the gateway's loop only. */
 public final class GatewayState implements Service {
@@ -30,8 +30,8 @@
     public static final ServiceName<GatewayState> NAME = new ServiceName<>("gateway-state", GatewayState.class);
 
     private final Workers workers = new Workers();
-    private final Map<String, RepeatBudget> budgets = new HashMap<>();
-    private final Map<String, EngineSplit> splits = new HashMap<>();
+    private final Map<String, WindowedRetryBudget> budgets = new HashMap<>();
+    private final Map<String, EnginePartition> splits = new HashMap<>();
     private final Map<String, EngineModel> models = new HashMap<>();
     private final RequestQuarantine quarantine = new RequestQuarantine();
     private final CachedPrefixes prefixes = new CachedPrefixes();
@@ -174,10 +174,10 @@
      * @param upstream its name
      * @return this process's part
      */
-    public RepeatBudget budget(String upstream) {
+    public WindowedRetryBudget budget(String upstream) {
         return budgets.computeIfAbsent(upstream, name -> {
-            RepeatBudget budget = new RepeatBudget(limit.ratio(), limit.extra(), limit.windowNanos());
-            budget.processes(processes);
+            WindowedRetryBudget budget = new WindowedRetryBudget(limit.ratio(), limit.extra(), limit.windowNanos());
+            budget.recordFleetSize(processes);
             return budget;
         });
     }
@@ -188,8 +188,8 @@
      * @param upstream its name
      * @return its split
      */
-    public EngineSplit split(String upstream) {
-        return splits.computeIfAbsent(upstream, name -> new EngineSplit());
+    public EnginePartition split(String upstream) {
+        return splits.computeIfAbsent(upstream, name -> new EnginePartition());
     }
 
     /**
@@ -276,7 +276,7 @@
      *
      * @return by the upstream's name
      */
-    public Map<String, EngineSplit> splits() {
+    public Map<String, EnginePartition> splits() {
         return splits;
     }
 
@@ -288,7 +288,7 @@
     public void processes(int count) {
         reachable = count;
         processes = Math.max(processes, count);
-        budgets.values().forEach(budget -> budget.processes(count));
+        budgets.values().forEach(budget -> budget.recordFleetSize(count));
     }
 
     /**
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -30,7 +30,7 @@
 import org.dotterelcourse.policy.quarantine.CrashNotice;
 import org.dotterelcourse.policy.rate.LimitNotice;
 import org.dotterelcourse.policy.selection.CachedPrefixes;
-import org.dotterelcourse.policy.selection.PaceWork;
+import org.dotterelcourse.policy.selection.LatencyClassWork;
 import org.jboss.logging.Logger;
 
 /**
@@ -94,8 +94,8 @@
     /** Names of the other processes that are not known to be dead. */
     private List<String> others = List.of();
 
-    private final List<CachedPrefixes.Place> reportedPlaces = new ArrayList<>();
-    private final List<CachedPrefixes.Place> gatheredPlaces = new ArrayList<>();
+    private final List<CachedPrefixes.PartLocation> reportedPlaces = new ArrayList<>();
+    private final List<CachedPrefixes.PartLocation> gatheredPlaces = new ArrayList<>();
     private String collector = "";
     private long collectorNanos;
     private final Map<String, Told> lastTold = new HashMap<>();
@@ -180,7 +180,7 @@
     /** A small fleet: everybody tells everybody. */
     private void tellAll(long now) {
         Map<Integer, PeerLoads.Load> own = state.workers().own(now);
-        List<CachedPrefixes.Place> places = state.prefixes().takeUntold();
+        List<CachedPrefixes.PartLocation> places = state.prefixes().drainUnreported();
         if (!due(ALL, own, places, now)) {
             return;
         }
@@ -190,7 +190,7 @@
 
     /** Whether a receiver is to be told now; if so, that is noted as done. */
     private boolean due(
-            String receiver, Map<Integer, PeerLoads.Load> loads, List<CachedPrefixes.Place> places, long now) {
+            String receiver, Map<Integer, PeerLoads.Load> loads, List<CachedPrefixes.PartLocation> places, long now) {
         Told last = lastTold.get(receiver);
         boolean due = last == null
                 || !places.isEmpty()
@@ -206,7 +206,7 @@
 
     private void tellByPlan(long now) {
         reporters.values().removeIf(heard -> now - heard > SILENT_MILLIS * NANOS_PER_MILLI);
-        List<CachedPrefixes.Place> places = state.prefixes().takeUntold();
+        List<CachedPrefixes.PartLocation> places = state.prefixes().drainUnreported();
         Optional<String> to = plan.collectorOf(avoided(now));
         if (to.isPresent()) {
             Map<Integer, PeerLoads.Load> own = state.workers().own(now);
@@ -260,7 +260,7 @@
             FleetProtos.LoadReport.Kind kind,
             Map<Integer, PeerLoads.Load> loads,
             String receiver,
-            List<CachedPrefixes.Place> places,
+            List<CachedPrefixes.PartLocation> places,
             long now) {
         FleetProtos.LoadReport.Builder report = FleetProtos.LoadReport.newBuilder()
                 .setKind(kind)
@@ -280,11 +280,11 @@
         }
         places.forEach(place -> report.addParts(place.part()).addPartWorkers(place.worker()));
         state.splits().forEach((upstream, split) -> {
-            PaceWork work =
+            LatencyClassWork work =
                     switch (kind) {
-                        case GATHERED -> split.gathered();
-                        case OTHERS -> split.without(receiver);
-                        default -> split.own();
+                        case GATHERED -> split.reportersWork();
+                        case OTHERS -> split.workExcluding(receiver);
+                        default -> split.localWork();
                     };
             report.addUpstreams(FleetProtos.UpstreamWork.newBuilder()
                     .setUpstream(upstream)
@@ -336,10 +336,10 @@
             double[] millis = work.getMillisByPaceList().stream()
                     .mapToDouble(Long::doubleValue)
                     .toArray();
-            if (millis.length == PaceWork.none().millis().length) {
+            if (millis.length == LatencyClassWork.none().millis().length) {
                 boolean alone = scope == PeerLoads.Scope.OWN;
                 String speaker = scope == PeerLoads.Scope.OTHERS ? COLLECTOR : peer;
-                state.split(work.getUpstream()).peer(speaker, alone, new PaceWork(millis), now);
+                state.split(work.getUpstream()).recordPeerWork(speaker, alone, new LatencyClassWork(millis), now);
             }
         }
     }
@@ -348,8 +348,9 @@
         boolean direct = plan == null || plan.direct();
         int count = Math.min(report.getPartsCount(), report.getPartWorkersCount());
         for (int i = 0; i < count; i++) {
-            CachedPrefixes.Place place = new CachedPrefixes.Place(report.getParts(i), report.getPartWorkers(i));
-            state.prefixes().told(place, now);
+            CachedPrefixes.PartLocation place =
+                    new CachedPrefixes.PartLocation(report.getParts(i), report.getPartWorkers(i));
+            state.prefixes().recordPeerReport(place, now);
             if (!direct && scope == PeerLoads.Scope.OWN) {
                 reportedPlaces.add(place);
             } else if (!direct && scope == PeerLoads.Scope.GATHERED) {
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -9,7 +9,7 @@
 import org.dotterelcourse.gateway.GatewayState;
 import org.dotterelcourse.policy.line.PendingRequest;
 import org.dotterelcourse.policy.line.UpstreamQueue;
-import org.dotterelcourse.policy.selection.Pace;
+import org.dotterelcourse.policy.selection.LatencyClass;
 import org.dotterelcourse.policy.selection.Prompt;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
@@ -82,7 +82,8 @@
 
     /** Whether a call's first event may come later than a long prompt is read. */
     static boolean patient(Call call) {
-        return call.terms().prompt().map(Prompt::pace).orElse(Pace.SOON) == Pace.PATIENT;
+        return call.terms().prompt().map(Prompt::latencyClass).orElse(LatencyClass.START_SENSITIVE)
+                == LatencyClass.DELAY_TOLERANT;
     }
 
     /** Places a call, at once or when it is its turn. */
@@ -110,7 +111,7 @@
 
     private void join(UpstreamQueue<Entry> line, Entry entry) {
         Call.Terms terms = entry.call.terms();
-        double lead = state.model(terms.upstream().name()).leadMillis();
+        double lead = state.model(terms.upstream().name()).leadTimeMillis();
         long onTime = terms.arrivalNanos() + nanos(terms.route().targetMillis() - lead);
         long inTime = terms.deadlineNanos() - nanos(Selection.usualMillis(entry.call));
         line.add(new PendingRequest<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -96,7 +96,7 @@
      */
     public Mono<Reply> forward(Call call) {
         return Mono.defer(() -> {
-            state.budget(call.terms().upstream().name()).request(loop.nowNanos());
+            state.budget(call.terms().upstream().name()).recordRequest(loop.nowNanos());
             selection.arrived(call, loop.nowNanos());
             return attempt(call, Optional.empty());
         });
@@ -251,7 +251,7 @@
     private boolean mayRepeat(Call call, long now) {
         return call.sends() < call.terms().route().maxAttempts()
                 && call.leftMillis(now) >= LEAST_LEFT_MILLIS
-                && state.budget(call.terms().upstream().name()).take(now);
+                && state.budget(call.terms().upstream().name()).tryAcquire(now);
     }
 
     private Flux<byte[]> relay(Call call, Placement placement, OpenAnswer open) {
@@ -275,9 +275,9 @@
     private void observe(Call call) {
         EngineModel model = state.model(call.terms().upstream().name());
         if (call.events() > 1) {
-            model.paused(call.lastPauseMillis(), call.terms().upstream().tokensPerEvent());
+            model.recordEventGap(call.lastPauseMillis(), call.terms().upstream().tokensPerEvent());
         } else if (EngineLines.patient(call)) {
-            model.started(call.sinceSentMillis(loop.nowNanos()));
+            model.recordFirstEvent(call.sinceSentMillis(loop.nowNanos()));
         }
     }
 
@@ -286,7 +286,7 @@
         broken.finished(call);
         if (EngineLines.patient(call)) {
             int tokens = call.events() * call.terms().upstream().tokensPerEvent();
-            state.model(call.terms().upstream().name()).answered(tokens);
+            state.model(call.terms().upstream().name()).recordCompletion(tokens);
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -10,13 +10,13 @@
 import org.dotterelcourse.gateway.workers.Placement;
 import org.dotterelcourse.gateway.workers.WorkerState;
 import org.dotterelcourse.gateway.workers.Workers;
-import org.dotterelcourse.policy.selection.Choice;
 import org.dotterelcourse.policy.selection.EngineModel;
+import org.dotterelcourse.policy.selection.EnginePartition;
 import org.dotterelcourse.policy.selection.EngineSelector;
-import org.dotterelcourse.policy.selection.EngineSplit;
+import org.dotterelcourse.policy.selection.LatencyClass;
 import org.dotterelcourse.policy.selection.LeastLoadedSelector;
-import org.dotterelcourse.policy.selection.Pace;
 import org.dotterelcourse.policy.selection.Prompt;
+import org.dotterelcourse.policy.selection.SelectionResult;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
 /** Finds a worker for a call by the selectors of the policy, and keeps what they need to know. */
@@ -58,7 +58,7 @@
 
     /** Counts the call's work into its upstream's split. */
     void arrived(Call call, long nowNanos) {
-        call.terms().prompt().ifPresent(prompt -> split(call).arrived(prompt, nowNanos));
+        call.terms().prompt().ifPresent(prompt -> split(call).recordArrival(prompt, nowNanos));
     }
 
     /** The time in which a usual answer on the call's route is to end, in milliseconds. */
@@ -77,14 +77,14 @@
     }
 
     private int mostStreams(Call call) {
-        return state.model(call.terms().upstream().name()).streamsWithin(usualMillis(call));
+        return state.model(call.terms().upstream().name()).maxStreamsWithin(usualMillis(call));
     }
 
     /** Places that are free at the upstream's engines for calls like this one, whoever takes them. */
     int room(Call call, long nowNanos) {
         int most = mostStreams(call);
         return candidates(call, nowNanos).stream()
-                .filter(engine -> engine.open() && !engine.suspected())
+                .filter(engine -> engine.canReceive() && !engine.suspected())
                 .mapToInt(engine -> Math.max(0, Math.min(most, engine.slots()) - engine.inFlight()))
                 .sum();
     }
@@ -102,14 +102,14 @@
         Call.Terms terms = call.terms();
         EngineSelector selector = new EngineSelector(
                 dataCentre, state.prefixes(), split(call), terms.upstream().transfer(), random);
-        Choice choice = selector.choose(prompt.get(), candidates, mostStreams, nowNanos);
-        if (choice instanceof Choice.Engine engine) {
+        SelectionResult choice = selector.choose(prompt.get(), candidates, mostStreams, nowNanos);
+        if (choice instanceof SelectionResult.Selected engine) {
             return state.workers()
                     .find(engine.id())
                     .map(worker -> engine(call, worker, engine, nowNanos))
                     .orElseGet(Outcome.NoWorker::new);
         }
-        return choice instanceof Choice.NoRoom ? new Outcome.NoRoom() : new Outcome.NoWorker();
+        return choice instanceof SelectionResult.NoCapacity ? new Outcome.NoRoom() : new Outcome.NoWorker();
     }
 
     /** Requests under which a worker crashed are kept apart where that goes, so that the next crash tells which it was. */
@@ -140,23 +140,23 @@
         return new Outcome.Placed(place(call, worker, false, 0, nowNanos), "");
     }
 
-    private Outcome engine(Call call, WorkerState worker, Choice.Engine engine, long nowNanos) {
+    private Outcome engine(Call call, WorkerState worker, SelectionResult.Selected engine, long nowNanos) {
         Prompt prompt = call.terms().prompt().orElseThrow();
         call.sending(worker.entry().id(), nowNanos);
         double prefill = prompt.prefillMillis(engine.cachedTokens());
-        state.prefixes().sent(prompt, worker.entry().incarnation(), nowNanos);
-        if (prompt.pace() == Pace.PATIENT) {
-            model(call).placed(prefill, prompt.outputTokens());
+        state.prefixes().recordSent(prompt, worker.entry().incarnation(), nowNanos);
+        if (prompt.latencyClass() == LatencyClass.DELAY_TOLERANT) {
+            model(call).recordDispatch(prefill, prompt.outputTokens());
         }
-        String fetchFrom = engine.source()
+        String fetchFrom = engine.fetchSource()
                 .flatMap(state.workers()::find)
                 .map(source -> source.entry().address())
                 .orElse("");
-        boolean interactive = prompt.pace() == Pace.SHORT_PAUSES;
+        boolean interactive = prompt.latencyClass() == LatencyClass.GAP_SENSITIVE;
         return new Outcome.Placed(place(call, worker, interactive, prefill, nowNanos), fetchFrom);
     }
 
-    private EngineSplit split(Call call) {
+    private EnginePartition split(Call call) {
         return state.split(call.terms().upstream().name());
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -59,8 +59,8 @@
      * @param nowNanos the time
      */
     public void succeeded(long nowNanos) {
-        worker.trust().succeeded(nowNanos);
-        worker.outcomes().succeeded(nowNanos);
+        worker.trust().recordSuccess(nowNanos);
+        worker.outcomes().recordSuccess(nowNanos);
     }
 
     /**
@@ -69,9 +69,9 @@
      * @param nowNanos the time
      */
     public void notReached(long nowNanos) {
-        worker.coldPeriod().assume(nowNanos);
-        worker.trust().notReached(nowNanos);
-        worker.outcomes().failed(nowNanos);
+        worker.coldPeriod().assumeRestarted(nowNanos);
+        worker.trust().recordConnectFailure(nowNanos);
+        worker.outcomes().recordFailure(nowNanos);
     }
 
     /**
@@ -80,8 +80,8 @@
      * @param nowNanos the time
      */
     public void failedByAnswer(long nowNanos) {
-        worker.trust().failedByAnswer(nowNanos);
-        worker.outcomes().failed(nowNanos);
+        worker.trust().recordErrorResponse(nowNanos);
+        worker.outcomes().recordFailure(nowNanos);
     }
 
     /**
@@ -91,7 +91,7 @@
      * @param nowNanos the time
      */
     public void refused(long nowNanos) {
-        worker.trust().failed(nowNanos);
+        worker.trust().recordFailure(nowNanos);
     }
 
     /**
@@ -100,8 +100,8 @@
      * @param nowNanos the time
      */
     public void failed(long nowNanos) {
-        worker.coldPeriod().assume(nowNanos);
-        worker.trust().failed(nowNanos);
-        worker.outcomes().failed(nowNanos);
+        worker.coldPeriod().assumeRestarted(nowNanos);
+        worker.trust().recordFailure(nowNanos);
+        worker.outcomes().recordFailure(nowNanos);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -2,22 +2,22 @@
 
 import java.util.OptionalDouble;
 
-import org.dotterelcourse.policy.cold.ColdPeriod;
 import org.dotterelcourse.policy.cold.ColdStart;
+import org.dotterelcourse.policy.cold.ColdStartTracker;
 import org.dotterelcourse.policy.rate.RateShare;
 import org.dotterelcourse.policy.rate.SlidingWindowLog;
+import org.dotterelcourse.policy.repeat.LocalSuspicion;
 import org.dotterelcourse.policy.repeat.RecentOutcomes;
 import org.dotterelcourse.policy.repeat.SharedSuspicion;
-import org.dotterelcourse.policy.repeat.WorkerTrust;
-import org.dotterelcourse.policy.selection.Intake;
+import org.dotterelcourse.policy.selection.SendPermission;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
 /** One worker with what this process and its peers have there. Used on the gateway's loop only. */
 public final class WorkerState {
-    private final WorkerTrust trust = new WorkerTrust();
+    private final LocalSuspicion trust = new LocalSuspicion();
     private final RecentOutcomes outcomes = new RecentOutcomes();
     private final SharedSuspicion sharedSuspicion = new SharedSuspicion();
-    private final ColdPeriod coldPeriod = new ColdPeriod();
+    private final ColdStartTracker coldPeriod = new ColdStartTracker();
     private final SlidingWindowLog sent = new SlidingWindowLog();
     private final int incarnation;
     private final long order;
@@ -68,7 +68,7 @@
         others = load;
     }
 
-    WorkerTrust trust() {
+    LocalSuspicion trust() {
         return trust;
     }
 
@@ -81,24 +81,24 @@
                 inFlight,
                 interactive,
                 prefillMillis,
-                outcomes.succeededLately(nowNanos),
-                outcomes.failedLately(nowNanos));
+                outcomes.recentSuccesses(nowNanos),
+                outcomes.recentFailures(nowNanos));
     }
 
-    ColdPeriod coldPeriod() {
+    ColdStartTracker coldPeriod() {
         return coldPeriod;
     }
 
     /** Whether this process may send it a request now. */
-    Intake intake(ColdStart coldStart, OptionalDouble limit, ShareHolders holders, long nowNanos) {
-        boolean cold = coldPeriod.cold(coldStart, nowNanos);
+    SendPermission intake(ColdStart coldStart, OptionalDouble limit, ShareHolders holders, long nowNanos) {
+        boolean cold = coldPeriod.isCold(coldStart, nowNanos);
         if (!cold && limit.isEmpty()) {
-            return Intake.FREE;
+            return SendPermission.UNLIMITED;
         }
         int processes = holders.processes();
         boolean open = (!cold || open(RateShare.ofPeak(coldStart.perSecond(), processes), holders, nowNanos))
                 && (limit.isEmpty() || open(RateShare.ofMean(limit.getAsDouble(), processes), holders, nowNanos));
-        return open ? Intake.SHARED : Intake.CLOSED;
+        return open ? SendPermission.RATE_LIMITED : SendPermission.DENIED;
     }
 
     private boolean open(RateShare share, ShareHolders holders, long nowNanos) {
@@ -107,9 +107,9 @@
 
     /** Whether all processes together have seen it fail too often. */
     boolean suspectedByAll(long nowNanos) {
-        return sharedSuspicion.judge(
-                outcomes.succeededLately(nowNanos) + others.succeeded(),
-                outcomes.failedLately(nowNanos) + others.failed());
+        return sharedSuspicion.update(
+                outcomes.recentSuccesses(nowNanos) + others.succeeded(),
+                outcomes.recentFailures(nowNanos) + others.failed());
     }
 
     void begin(boolean isInteractive, double prefill, long nowNanos) {
@@ -143,7 +143,7 @@
         return suspects > 0;
     }
 
-    WorkerLoad load(long nowNanos, boolean suspectedByAll, Intake intake) {
+    WorkerLoad load(long nowNanos, boolean suspectedByAll, SendPermission intake) {
         return new WorkerLoad(
                 entry.id(),
                 incarnation,
@@ -153,7 +153,7 @@
                 inFlight + others.inFlight(),
                 interactive + others.interactive(),
                 prefillMillis + others.prefillMillis(),
-                suspectedByAll || trust.suspected(nowNanos),
+                suspectedByAll || trust.isSuspected(nowNanos),
                 intake);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdPeriod.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
@@ -8,7 +8,7 @@
  * worker that could not be reached, or that broke its requests, is probably a new process when it answers again; and
  * the workers of a data centre that was evacuated are cold when it is taken back.
  */
-public final class ColdPeriod {
+public final class ColdStartTracker {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private boolean told;
@@ -22,7 +22,7 @@
      * @param millis the time; 0 if it is not
      * @param nowNanos the time of its word
      */
-    public void told(long millis, long nowNanos) {
+    public void recordReport(long millis, long nowNanos) {
         told = millis > 0;
         toldUntilNanos = nowNanos + millis * NANOS_PER_MILLI;
     }
@@ -32,7 +32,7 @@
      *
      * @param nowNanos the time
      */
-    public void assume(long nowNanos) {
+    public void assumeRestarted(long nowNanos) {
         assumed = true;
         assumedNanos = nowNanos;
     }
@@ -44,8 +44,8 @@
      * @param nowNanos the time
      * @return true until both its own time and that of the last sign are over
      */
-    public boolean cold(ColdStart coldStart, long nowNanos) {
-        return coldStart.bounded()
+    public boolean isCold(ColdStart coldStart, long nowNanos) {
+        return coldStart.hasRateLimit()
                 && (told && nowNanos - toldUntilNanos < 0
                         || assumed && nowNanos - assumedNanos < coldStart.millis() * NANOS_PER_MILLI);
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WorkerTrust.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
@@ -8,7 +8,7 @@
  * left out after some failures in a row, longer each time, and one success ends it. That others are there to take the
  * load is for the selectors to see: they fall back to suspected workers when there are no others.
  */
-public final class WorkerTrust {
+public final class LocalSuspicion {
     private static final long MILLISECOND = 1_000_000L;
 
     /** A single refused connection or reset may be chance; two in a row from one worker are rarely. */
@@ -38,7 +38,7 @@
      *
      * @param nowNanos the time
      */
-    public void succeeded(long nowNanos) {
+    public void recordSuccess(long nowNanos) {
         failuresInRow = 0;
         failingShare *= 1 - NEWEST;
         if (failingShare < FAILING_SHARE / 2) {
@@ -52,9 +52,9 @@
      *
      * @param nowNanos the time
      */
-    public void failed(long nowNanos) {
+    public void recordFailure(long nowNanos) {
         failuresInRow++;
-        failedByAnswer(nowNanos);
+        recordErrorResponse(nowNanos);
         if (failuresInRow >= FAILURES_IN_ROW) {
             suspect(nowNanos);
         }
@@ -65,7 +65,7 @@
      *
      * @param nowNanos the time
      */
-    public void failedByAnswer(long nowNanos) {
+    public void recordErrorResponse(long nowNanos) {
         failingShare = failingShare * (1 - NEWEST) + NEWEST;
         if (failingShare > FAILING_SHARE) {
             suspect(nowNanos);
@@ -78,13 +78,13 @@
      *
      * @param nowNanos the time
      */
-    public void notReached(long nowNanos) {
+    public void recordConnectFailure(long nowNanos) {
         failuresInRow++;
         suspect(nowNanos);
     }
 
     private void suspect(long nowNanos) {
-        if (!suspected(nowNanos)) {
+        if (!isSuspected(nowNanos)) {
             suspectedUntilNanos = nowNanos + pauseNanos;
             pauseNanos = Math.min(LONGEST_PAUSE_NANOS, 2 * pauseNanos);
         }
@@ -97,7 +97,7 @@
      * @param nowNanos the time
      * @return true while its pause lasts
      */
-    public boolean suspected(long nowNanos) {
+    public boolean isSuspected(long nowNanos) {
         return suspected && nowNanos - suspectedUntilNanos < 0;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
@@ -3,7 +3,7 @@
 /**
  * How requests at one worker lately ended, as counts that fade by half in each half-life.
  *
- * <p>Counts of several processes can be added up, which the averages of {@link WorkerTrust} can't. It answers a large
+ * <p>Counts of several processes can be added up, which the averages of {@link LocalSuspicion} can't. It answers a large
  * fleet, where each process sends a worker a request every ten seconds or so: alone, it would find a failing worker only
  * after half a minute.
  */
@@ -23,7 +23,7 @@
      *
      * @param nowNanos the time
      */
-    public void succeeded(long nowNanos) {
+    public void recordSuccess(long nowNanos) {
         fade(nowNanos);
         succeeded++;
     }
@@ -33,7 +33,7 @@
      *
      * @param nowNanos the time
      */
-    public void failed(long nowNanos) {
+    public void recordFailure(long nowNanos) {
         fade(nowNanos);
         failed++;
     }
@@ -44,7 +44,7 @@
      * @param nowNanos the time
      * @return their faded count
      */
-    public double succeededLately(long nowNanos) {
+    public double recentSuccesses(long nowNanos) {
         fade(nowNanos);
         return succeeded;
     }
@@ -55,7 +55,7 @@
      * @param nowNanos the time
      * @return their faded count
      */
-    public double failedLately(long nowNanos) {
+    public double recentFailures(long nowNanos) {
         fade(nowNanos);
         return failed;
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
@@ -40,7 +40,7 @@
      * @param prefill what is to be read of its prompt there, in milliseconds
      * @param mostTokens the most tokens that its answer may have
      */
-    public void placed(double prefill, int mostTokens) {
+    public void recordDispatch(double prefill, int mostTokens) {
         prompts++;
         prefillMillis += weight(prompts) * (prefill - prefillMillis);
         if (answers == 0) {
@@ -53,7 +53,7 @@
      *
      * @param millis the time since it was sent to the engine
      */
-    public void started(double millis) {
+    public void recordFirstEvent(double millis) {
         starts++;
         startDeviation += weight(starts) * (Math.abs(millis - startMillis) - startDeviation);
         startMillis += weight(starts) * (millis - startMillis);
@@ -65,7 +65,7 @@
      *
      * @return milliseconds, 0 before the first one
      */
-    public double leadMillis() {
+    public double leadTimeMillis() {
         return startMillis + startDeviation;
     }
 
@@ -74,7 +74,7 @@
      *
      * @param tokens the tokens of its answer
      */
-    public void answered(int tokens) {
+    public void recordCompletion(int tokens) {
         answers++;
         answerTokens += weight(answers) * (tokens - answerTokens);
     }
@@ -85,7 +85,7 @@
      * @param pauseMillis the time between them; 0 if it was the first
      * @param tokensPerEvent how many tokens, one a step, an engine puts into one event
      */
-    public void paused(double pauseMillis, int tokensPerEvent) {
+    public void recordEventGap(double pauseMillis, int tokensPerEvent) {
         if (pauseMillis <= 0) {
             return;
         }
@@ -124,7 +124,7 @@
      * @param withinMillis the time in which a usual stream is to end
      * @return at least 1
      */
-    public int streamsWithin(double withinMillis) {
+    public int maxStreamsWithin(double withinMillis) {
         double read = Math.max(1, prefillMillis);
         double answer = answerTokens * stepMillis;
         double spare = withinMillis - read - answer;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSplit.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * How many of an upstream's engines are for the streams of each pace, in proportion to the work that lately came to all
+ * How many of an upstream's engines are for the streams of each latencyClass, in proportion to the work that lately came to all
  * processes.
  *
  * <p>It answers a mix that changes through the day. With fixed splits, one of them is idle while the other queues; with
  * none, each long prompt delays interactive streams.
  */
-public final class EngineSplit {
+public final class EnginePartition {
     /** Short enough to follow the hours of a day, and longer than a burst, which would move the split to and fro. */
     private static final double HALF_LIFE_NANOS = 30e9;
 
@@ -26,7 +26,8 @@
      * Engines for a pace beside its work. First events that are due within a second need engines that are idle for half
      * of the time.
      */
-    private static final Map<Pace, Double> WEIGHT = Map.of(Pace.SHORT_PAUSES, 1.0, Pace.SOON, 1.6, Pace.PATIENT, 1.0);
+    private static final Map<LatencyClass, Double> WEIGHT = Map.of(
+            LatencyClass.GAP_SENSITIVE, 1.0, LatencyClass.START_SENSITIVE, 1.6, LatencyClass.DELAY_TOLERANT, 1.0);
 
     /** Assumed before anything came, and soon outweighed: milliseconds by pace. */
     private static final double[] FIRST_WORK = {220, 280, 500};
@@ -41,20 +42,20 @@
     private static final long KEPT_NANOS = 10_000_000_000L;
 
     private final Map<String, Told> peers = new HashMap<>();
-    private PaceWork own = new PaceWork(FIRST_WORK.clone());
+    private LatencyClassWork own = new LatencyClassWork(FIRST_WORK.clone());
     private boolean begun;
     private long lastNanos;
     private int[] counts = new int[0];
     private int lastWorkers;
 
-    private record Told(boolean alone, PaceWork work, long atNanos) {}
+    private record Told(boolean alone, LatencyClassWork work, long atNanos) {}
 
     /**
      * What lately came to this process, for its peers.
      *
      * @return the work as of the last request
      */
-    public PaceWork own() {
+    public LatencyClassWork localWork() {
         return own;
     }
 
@@ -66,7 +67,7 @@
      * @param work its work
      * @param nowNanos the time
      */
-    public void peer(String peer, boolean alone, PaceWork work, long nowNanos) {
+    public void recordPeerWork(String peer, boolean alone, LatencyClassWork work, long nowNanos) {
         peers.put(peer, new Told(alone, work, nowNanos));
     }
 
@@ -75,8 +76,8 @@
      *
      * @return the sum
      */
-    public PaceWork gathered() {
-        PaceWork sum = own;
+    public LatencyClassWork reportersWork() {
+        LatencyClassWork sum = own;
         for (Told told : peers.values()) {
             sum = told.alone() ? sum.plus(told.work()) : sum;
         }
@@ -89,8 +90,8 @@
      * @param peer its name
      * @return the sum
      */
-    public PaceWork without(String peer) {
-        PaceWork sum = own;
+    public LatencyClassWork workExcluding(String peer) {
+        LatencyClassWork sum = own;
         for (Map.Entry<String, Told> told : peers.entrySet()) {
             sum = told.getKey().equals(peer) ? sum : sum.plus(told.getValue().work());
         }
@@ -103,39 +104,39 @@
      * @param prompt its prompt
      * @param nowNanos the time
      */
-    public void arrived(Prompt prompt, long nowNanos) {
+    public void recordArrival(Prompt prompt, long nowNanos) {
         double fade = begun ? Math.pow(0.5, Math.max(0, nowNanos - lastNanos) / HALF_LIFE_NANOS) : 1;
         begun = true;
         lastNanos = nowNanos;
         double work = prompt.prefillMillis(0) + OUTPUT_TOKEN_MILLIS * prompt.outputTokens();
-        own = own.faded(fade).with(prompt.pace(), WEIGHT.get(prompt.pace()) * work);
+        own = own.faded(fade).with(prompt.latencyClass(), WEIGHT.get(prompt.latencyClass()) * work);
     }
 
     /**
      * The ranks of the engines that are for one pace. A pace without engines of its own may use all.
      *
-     * @param pace the pace
+     * @param latencyClass the pace
      * @param workers how many engines there are
      * @return first rank and the one after the last
      */
-    public Range range(Pace pace, int workers) {
-        int paces = Pace.values().length;
+    public Range range(LatencyClass latencyClass, int workers) {
+        int paces = LatencyClass.values().length;
         if (workers < paces) {
             boolean alone = workers == 2;
-            boolean first = pace == Pace.SHORT_PAUSES;
+            boolean first = latencyClass == LatencyClass.GAP_SENSITIVE;
             return alone ? new Range(first ? 0 : 1, first ? 1 : 2) : new Range(0, workers);
         }
         split(workers);
         int from = 0;
-        for (int i = 0; i < pace.ordinal(); i++) {
+        for (int i = 0; i < latencyClass.ordinal(); i++) {
             from += counts[i];
         }
-        int count = counts[pace.ordinal()];
+        int count = counts[latencyClass.ordinal()];
         return count == 0 ? new Range(0, workers) : new Range(from, from + count);
     }
 
     /**
-     * Ranks of engines.
+     * RankHash of engines.
      *
      * @param from the first
      * @param to the one after the last
@@ -160,7 +161,7 @@
 
     private double[] wanted(int workers) {
         peers.values().removeIf(told -> lastNanos - told.atNanos() > KEPT_NANOS);
-        PaceWork sum = without("");
+        LatencyClassWork sum = workExcluding("");
         double total = sum.total();
         return Arrays.stream(sum.millis())
                 .map(each -> each < LEAST_SHARE * total ? 0 : workers * each / total)
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -35,15 +35,20 @@
      * What it costs to leave the split with a whole prompt of the usual length, by pace: somewhat over half of the usual
      * latency targets (0.5, 0.8 and 2.5 s), so that a request goes elsewhere only where it would else be late.
      */
-    private static final Map<Pace, Double> OTHER_SPLIT_MILLIS =
-            Map.of(Pace.SHORT_PAUSES, 300.0, Pace.SOON, 480.0, Pace.PATIENT, 1_500.0);
+    private static final Map<LatencyClass, Double> OTHER_SPLIT_MILLIS = Map.of(
+            LatencyClass.GAP_SENSITIVE,
+            300.0,
+            LatencyClass.START_SENSITIVE,
+            480.0,
+            LatencyClass.DELAY_TOLERANT,
+            1_500.0);
 
     /**
      * Prefill of a whole prompt of the usual length, by pace. One whose parts have been read there holds the streams up by
      * less, and costs as much less: when the split moves, parts are still used where they are and not read again.
      */
-    private static final Map<Pace, Double> USUAL_MILLIS =
-            Map.of(Pace.SHORT_PAUSES, 24.0, Pace.SOON, 170.0, Pace.PATIENT, 350.0);
+    private static final Map<LatencyClass, Double> USUAL_MILLIS = Map.of(
+            LatencyClass.GAP_SENSITIVE, 24.0, LatencyClass.START_SENSITIVE, 170.0, LatencyClass.DELAY_TOLERANT, 350.0);
 
     /** What a request without a free slot waits at least: the shortest streams take about a second. */
     private static final double NO_SLOT_MILLIS = 1_000;
@@ -54,8 +59,8 @@
      * 6.3 and 13.3 thousand tokens) thereby outweigh a wait of 0.03, 0.3 and 1.5 s, within the usual latency targets (0.5,
      * 0.8 and 2 s).
      */
-    private static final Map<Pace, Double> READ_AGAIN =
-            Map.of(Pace.SHORT_PAUSES, 4.0, Pace.SOON, 2.0, Pace.PATIENT, 6.0);
+    private static final Map<LatencyClass, Double> READ_AGAIN = Map.of(
+            LatencyClass.GAP_SENSITIVE, 4.0, LatencyClass.START_SENSITIVE, 2.0, LatencyClass.DELAY_TOLERANT, 6.0);
 
     /**
      * How much more it weighs to read parts at an engine that is not one of their homes. It bounds the engines that read
@@ -86,8 +91,8 @@
 
     private final String dataCentre;
     private final CachedPrefixes prefixes;
-    private final EngineSplit split;
-    private final Transfer transfer;
+    private final EnginePartition split;
+    private final TransferCost transfer;
     private final RandomGenerator random;
 
     /**
@@ -100,7 +105,11 @@
      * @param random breaks ties
      */
     public EngineSelector(
-            String dataCentre, CachedPrefixes prefixes, EngineSplit split, Transfer transfer, RandomGenerator random) {
+            String dataCentre,
+            CachedPrefixes prefixes,
+            EnginePartition split,
+            TransferCost transfer,
+            RandomGenerator random) {
         this.dataCentre = dataCentre;
         this.prefixes = prefixes;
         this.split = split;
@@ -110,7 +119,7 @@
 
     @Override
     public Optional<String> select(Prompt prompt, List<WorkerLoad> workers, long nowNanos) {
-        return choose(prompt, workers, Integer.MAX_VALUE, nowNanos) instanceof Choice.Engine engine
+        return choose(prompt, workers, Integer.MAX_VALUE, nowNanos) instanceof SelectionResult.Selected engine
                 ? Optional.of(engine.id())
                 : Optional.empty();
     }
@@ -125,24 +134,24 @@
      * @param nowNanos the time on the monotonic clock
      * @return the engine, or why there is none
      */
-    public Choice choose(Prompt prompt, List<WorkerLoad> workers, int mostStreams, long nowNanos) {
-        boolean anySound = workers.stream().anyMatch(each -> each.open() && !each.suspected());
+    public SelectionResult choose(Prompt prompt, List<WorkerLoad> workers, int mostStreams, long nowNanos) {
+        boolean anySound = workers.stream().anyMatch(each -> each.canReceive() && !each.suspected());
         List<WorkerLoad> ranked = new ArrayList<>(workers);
-        ranked.sort(Comparator.comparingInt((WorkerLoad each) -> Ranks.mix(each.address()))
+        ranked.sort(Comparator.comparingInt((WorkerLoad each) -> RankHash.mix(each.address()))
                 .thenComparing(WorkerLoad::id));
-        EngineSplit.Range range = split.range(prompt.pace(), ranked.size());
+        EnginePartition.Range range = split.range(prompt.latencyClass(), ranked.size());
         // Processes suspect different engines at different times; ranks and splits must not follow that, or their homes
         // would differ for every part.
         List<String> homes = homes(prompt, ranked.subList(range.from(), range.to()), anySound);
-        boolean read = prompt.lastShared()
-                .filter(part -> prefixes.readSomewhere(part.id(), nowNanos))
+        boolean read = prompt.lastSharedPart()
+                .filter(part -> prefixes.isCachedAnywhere(part.id(), nowNanos))
                 .isPresent();
         Optional<Source> source = source(prompt, ranked, nowNanos);
-        Choice.Engine best = null;
+        SelectionResult.Selected best = null;
         double least = Double.MAX_VALUE;
         for (int i = 0; i < ranked.size(); i++) {
             WorkerLoad worker = ranked.get(i);
-            if (anySound && worker.suspected() || !worker.open() || !hasRoom(worker, mostStreams)) {
+            if (anySound && worker.suspected() || !worker.canReceive() || !hasRoom(worker, mostStreams)) {
                 continue;
             }
             int own = prefixes.cachedTokens(prompt, worker.incarnation(), nowNanos);
@@ -154,13 +163,13 @@
                     + (range.holds(i) ? 0 : outside(prompt, cached));
             if (cost < least) {
                 least = cost;
-                best = new Choice.Engine(worker.id(), cached, used.map(Source::worker));
+                best = new SelectionResult.Selected(worker.id(), cached, used.map(Source::worker));
             }
         }
         if (best != null) {
             return best;
         }
-        return workers.isEmpty() ? new Choice.NoEngine() : new Choice.NoRoom();
+        return workers.isEmpty() ? new SelectionResult.NoEngine() : new SelectionResult.NoCapacity();
     }
 
     /** An engine that has read most of a prompt's parts. */
@@ -169,7 +178,7 @@
     private Optional<Source> source(Prompt prompt, List<WorkerLoad> workers, long nowNanos) {
         Source most = new Source("", 0);
         for (WorkerLoad worker : workers) {
-            int tokens = worker.suspected() ? 0 : prefixes.settledTokens(prompt, worker.incarnation(), nowNanos);
+            int tokens = worker.suspected() ? 0 : prefixes.fetchableTokens(prompt, worker.incarnation(), nowNanos);
             most = tokens > most.tokens() ? new Source(worker.id(), tokens) : most;
         }
         return most.tokens() == 0 || transfer.millisPerToken() == Double.POSITIVE_INFINITY
@@ -195,7 +204,7 @@
             cost += NO_SLOT_MILLIS * (1 + worker.inFlight() - worker.slots()) / Math.max(1, worker.slots())
                     + NO_SLOT_MILLIS;
         }
-        if (prompt.pace() != Pace.SHORT_PAUSES) {
+        if (prompt.latencyClass() != LatencyClass.GAP_SENSITIVE) {
             cost += own * worker.interactiveStreams();
         }
         boolean near = worker.dataCentre().equals(dataCentre);
@@ -208,7 +217,7 @@
      */
     private static double reading(Prompt prompt, int cached, boolean readSomewhere, int home) {
         double millis = Math.max(0, prompt.sharedTokens() - cached) / PREFILL_TOKENS_PER_MILLI;
-        double weight = READ_AGAIN.get(prompt.pace());
+        double weight = READ_AGAIN.get(prompt.latencyClass());
         if (home < 0) {
             return NOT_HOME * weight * millis;
         }
@@ -218,24 +227,25 @@
     private double fetching(Prompt prompt, int tokens) {
         return tokens <= 0
                 ? 0
-                : transfer.millis(tokens) + FETCH * READ_AGAIN.get(prompt.pace()) * tokens / PREFILL_TOKENS_PER_MILLI;
+                : transfer.millis(tokens)
+                        + FETCH * READ_AGAIN.get(prompt.latencyClass()) * tokens / PREFILL_TOKENS_PER_MILLI;
     }
 
     private static double outside(Prompt prompt, int cached) {
-        double part = prompt.prefillMillis(cached) / USUAL_MILLIS.get(prompt.pace());
-        return OTHER_SPLIT_MILLIS.get(prompt.pace()) * Math.min(1, part);
+        double part = prompt.prefillMillis(cached) / USUAL_MILLIS.get(prompt.latencyClass());
+        return OTHER_SPLIT_MILLIS.get(prompt.latencyClass()) * Math.min(1, part);
     }
 
     /** The engines where a prompt's parts are read, by rendezvous hashing of the last one over the prompt's split. */
     private static List<String> homes(Prompt prompt, List<WorkerLoad> inSplit, boolean anySound) {
-        Optional<Prompt.Part> part = prompt.lastShared();
+        Optional<Prompt.Part> part = prompt.lastSharedPart();
         if (part.isEmpty()) {
             return List.of();
         }
         int hash = part.get().id().hashCode();
         return inSplit.stream()
                 .filter(each -> !anySound || !each.suspected())
-                .sorted(Comparator.comparingInt((WorkerLoad each) -> Ranks.mix(hash, each.address()))
+                .sorted(Comparator.comparingInt((WorkerLoad each) -> RankHash.mix(hash, each.address()))
                         .reversed())
                 .limit(HOMES)
                 .map(WorkerLoad::id)
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Pace.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
@@ -6,13 +6,13 @@
  * <p>An engine reads prompts in chunks between the steps that make tokens. A chunk of a long prompt takes some 50 ms and
  * more; a whole one up to 1.6 s.
  */
-public enum Pace {
+public enum LatencyClass {
     /** Its pauses must be shorter than steps with a chunk of a long prompt are. */
-    SHORT_PAUSES,
+    GAP_SENSITIVE,
     /** Its first event must come sooner than a long prompt is read. */
-    SOON,
+    START_SENSITIVE,
     /** It can wait for a long prompt, and often is one. */
-    PATIENT;
+    DELAY_TOLERANT;
 
     /**
      * The longest usual step with a chunk of a long prompt: 33 ms for 2,048 tokens at 62.4 tokens/ms, 30 ms for attention to
@@ -32,10 +32,10 @@
      * @param tokensPerEvent how many tokens, one a step, an engine puts into one event
      * @return the pace
      */
-    public static Pace of(long gapTargetMillis, long firstEventMillis, int tokensPerEvent) {
+    public static LatencyClass of(long gapTargetMillis, long firstEventMillis, int tokensPerEvent) {
         if (gapTargetMillis > 0 && gapTargetMillis <= LONG_STEP_MILLIS * tokensPerEvent) {
-            return SHORT_PAUSES;
+            return GAP_SENSITIVE;
         }
-        return firstEventMillis < LONG_PROMPT_MILLIS ? SOON : PATIENT;
+        return firstEventMillis < LONG_PROMPT_MILLIS ? START_SENSITIVE : DELAY_TOLERANT;
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/line/BurstOfLongPromptsTest.java
@@ -91,14 +91,14 @@
                 2,
                 "c",
                 nanos(stream.arrivalMillis),
-                nanos(stream.arrivalMillis + TARGET_MILLIS - model.leadMillis()),
+                nanos(stream.arrivalMillis + TARGET_MILLIS - model.leadTimeMillis()),
                 nanos(stream.arrivalMillis + TIMEOUT_MILLIS / 2)));
         dispatchPending(nowMillis);
     }
 
     private void dispatchPending(double nowMillis) {
         rejected += queue.removeExpired(nanos(nowMillis)).size();
-        while (queue.size() > 0 && inFlight.size() < model.streamsWithin(TIMEOUT_MILLIS / 2)) {
+        while (queue.size() > 0 && inFlight.size() < model.maxStreamsWithin(TIMEOUT_MILLIS / 2)) {
             PendingRequest<Stream> next = queue.peekNext(nanos(nowMillis)).orElseThrow();
             queue.remove(next.item());
             queue.recordDispatch(next.customer(), nanos(nowMillis));
@@ -109,7 +109,7 @@
     private void send(Stream stream) {
         inFlight.add(stream);
         pendingPrefills.add(stream);
-        model.placed(stream.promptTokensLeft / PREFILL_TOKENS_PER_MILLI, OUTPUT_TOKENS);
+        model.recordDispatch(stream.promptTokensLeft / PREFILL_TOKENS_PER_MILLI, OUTPUT_TOKENS);
     }
 
     /**
@@ -140,7 +140,7 @@
         if (stream.promptTokensLeft <= 0) {
             stream.outputTokensLeft--;
             if (stream.lastTokenMillis > 0) {
-                model.paused(nowMillis - stream.lastTokenMillis, 1);
+                model.recordEventGap(nowMillis - stream.lastTokenMillis, 1);
             }
             stream.lastTokenMillis = nowMillis;
         }
@@ -151,7 +151,7 @@
             completed += isLate ? 0 : 1;
             timedOut += isLate ? 1 : 0;
             if (!isLate) {
-                model.answered(OUTPUT_TOKENS);
+                model.recordCompletion(OUTPUT_TOKENS);
             }
         }
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WorkerTrustTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
@@ -4,23 +4,23 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class WorkerTrustTest {
+class LocalSuspicionTest {
     private static final long SECOND = 1_000_000_000L;
 
-    private final WorkerTrust trust = new WorkerTrust();
+    private final LocalSuspicion trust = new LocalSuspicion();
 
     @Test
     void oneFailureMayBeChance() {
-        trust.failed(0);
-        assertThat(trust.suspected(1)).isFalse();
+        trust.recordFailure(0);
+        assertThat(trust.isSuspected(1)).isFalse();
     }
 
     // A worker has crashed. Every further request would wait for a connection that never comes.
     @Test
     void aWorkerThatCannotBeReachedIsLeftOutAtOnce() {
-        trust.notReached(0);
-        assertThat(trust.suspected(1)).isTrue();
-        assertThat(trust.suspected(SECOND)).isFalse();
+        trust.recordConnectFailure(0);
+        assertThat(trust.isSuspected(1)).isTrue();
+        assertThat(trust.isSuspected(SECOND)).isFalse();
     }
 
     // A service answers every seventh request with a failure while nothing is wrong. If two in a row were enough, one
@@ -28,15 +28,15 @@
     // three workers would be left out again and again, and the others would queue.
     @Test
     void someFailuresOfItsOwnAreNoReasonToLeaveAWorkerOut() {
-        trust.failedByAnswer(0);
-        trust.failedByAnswer(0);
+        trust.recordErrorResponse(0);
+        trust.recordErrorResponse(0);
         for (int i = 0; i < 70; i++) {
             if (i % 7 == 0) {
-                trust.failedByAnswer(i);
+                trust.recordErrorResponse(i);
             } else {
-                trust.succeeded(i);
+                trust.recordSuccess(i);
             }
-            assertThat(trust.suspected(i + 1)).isFalse();
+            assertThat(trust.isSuspected(i + 1)).isFalse();
         }
     }
 
@@ -44,19 +44,19 @@
     @Test
     void aWorkerThatFailsEverySecondRequestIsLeftOut() {
         for (int i = 0; i < 40; i++) {
-            trust.failedByAnswer(i);
-            trust.succeeded(i);
+            trust.recordErrorResponse(i);
+            trust.recordSuccess(i);
         }
-        trust.failedByAnswer(40);
-        assertThat(trust.suspected(41)).isTrue();
+        trust.recordErrorResponse(40);
+        assertThat(trust.isSuspected(41)).isTrue();
     }
 
     @Test
     void aWorkerThatGoesOnFailingIsLeftOutForLongerEachTime() {
-        trust.notReached(0);
-        trust.notReached(SECOND);
-        assertThat(trust.suspected(SECOND + 900_000_000L)).isTrue();
-        trust.succeeded(3 * SECOND);
-        assertThat(trust.suspected(3 * SECOND)).isFalse();
+        trust.recordConnectFailure(0);
+        trust.recordConnectFailure(SECOND);
+        assertThat(trust.isSuspected(SECOND + 900_000_000L)).isTrue();
+        trust.recordSuccess(3 * SECOND);
+        assertThat(trust.isSuspected(3 * SECOND)).isFalse();
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
@@ -12,10 +12,10 @@
 
     @Test
     void countsFadeByHalfInThreeSeconds() {
-        outcomes.succeeded(SECOND);
-        outcomes.failed(SECOND);
-        outcomes.failed(SECOND);
-        assertThat(outcomes.failedLately(4 * SECOND)).isCloseTo(1, within(0.001));
-        assertThat(outcomes.succeededLately(7 * SECOND)).isCloseTo(0.25, within(0.001));
+        outcomes.recordSuccess(SECOND);
+        outcomes.recordFailure(SECOND);
+        outcomes.recordFailure(SECOND);
+        assertThat(outcomes.recentFailures(4 * SECOND)).isCloseTo(1, within(0.001));
+        assertThat(outcomes.recentSuccesses(7 * SECOND)).isCloseTo(0.25, within(0.001));
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RepeatBudgetTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
@@ -11,7 +11,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RepeatBudgetTest {
+class WindowedRetryBudgetTest {
     private static final long SECOND = 1_000_000_000L;
     private static final double RATIO = 0.2;
     private static final int EXTRA = 20;
@@ -22,10 +22,10 @@
     void aFleetStaysWithinItsBudgetInEveryWindow(
             @ForAll @IntRange(min = 1, max = 8) int processes,
             @ForAll @Size(min = 1, max = 300) List<@IntRange(max = 400) Integer> gapsMillis) {
-        List<RepeatBudget> fleet = new ArrayList<>();
+        List<WindowedRetryBudget> fleet = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
-            RepeatBudget budget = new RepeatBudget(RATIO, EXTRA, 10 * SECOND);
-            budget.processes(processes);
+            WindowedRetryBudget budget = new WindowedRetryBudget(RATIO, EXTRA, 10 * SECOND);
+            budget.recordFleetSize(processes);
             fleet.add(budget);
         }
         List<Long> requests = new ArrayList<>();
@@ -33,10 +33,10 @@
         long now = 0;
         for (int i = 0; i < gapsMillis.size(); i++) {
             now += gapsMillis.get(i) * 1_000_000L;
-            RepeatBudget budget = fleet.get(i * 7 % processes);
-            budget.request(now);
+            WindowedRetryBudget budget = fleet.get(i * 7 % processes);
+            budget.recordRequest(now);
             requests.add(now);
-            while (budget.take(now)) {
+            while (budget.tryAcquire(now)) {
                 repeats.add(now);
             }
             long from = now - 10 * SECOND;
@@ -48,13 +48,13 @@
 
     @Test
     void aSpentBudgetComesBackWithTime() {
-        RepeatBudget budget = new RepeatBudget(0, 10, 10 * SECOND);
+        WindowedRetryBudget budget = new WindowedRetryBudget(0, 10, 10 * SECOND);
         int taken = 0;
-        while (budget.take(0)) {
+        while (budget.tryAcquire(0)) {
             taken++;
         }
         assertThat(taken).isEqualTo(8);
-        assertThat(budget.take(9 * SECOND)).isFalse();
-        assertThat(budget.take(11 * SECOND)).isTrue();
+        assertThat(budget.tryAcquire(9 * SECOND)).isFalse();
+        assertThat(budget.tryAcquire(11 * SECOND)).isTrue();
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void partsCountUpToTheFirstThatTheWorkerHasNotRead() {
-        prefixes.sent(prompt("a", "b"), 1, SECOND);
+        prefixes.recordSent(prompt("a", "b"), 1, SECOND);
         assertThat(prefixes.cachedTokens(prompt("a", "b"), 1, SECOND)).isEqualTo(200);
         assertThat(prefixes.cachedTokens(prompt("a", "c"), 1, SECOND)).isEqualTo(100);
         assertThat(prefixes.cachedTokens(prompt("c", "b"), 1, SECOND)).isZero();
@@ -25,28 +25,28 @@
     @Test
     void whatOneProcessHasSentAnotherOneKnows() {
         CachedPrefixes peer = new CachedPrefixes();
-        prefixes.sent(prompt("a", "b"), 1, SECOND);
-        prefixes.takeUntold().forEach(place -> peer.told(place, SECOND));
+        prefixes.recordSent(prompt("a", "b"), 1, SECOND);
+        prefixes.drainUnreported().forEach(place -> peer.recordPeerReport(place, SECOND));
         assertThat(peer.cachedTokens(prompt("a", "b"), 1, SECOND)).isEqualTo(200);
-        assertThat(peer.readSomewhere("b", SECOND)).isTrue();
-        assertThat(peer.takeUntold()).isEmpty();
+        assertThat(peer.isCachedAnywhere("b", SECOND)).isTrue();
+        assertThat(peer.drainUnreported()).isEmpty();
     }
 
     @Test
     void aPlaceIsToldOnceUntilTheNewsOfItGetsOld() {
-        prefixes.sent(prompt("a", "b"), 1, SECOND);
-        assertThat(prefixes.takeUntold()).hasSize(2);
-        prefixes.sent(prompt("a", "b"), 1, 2 * SECOND);
-        assertThat(prefixes.takeUntold()).isEmpty();
-        prefixes.sent(prompt("a", "b"), 1, 10 * SECOND);
-        assertThat(prefixes.takeUntold()).hasSize(2);
+        prefixes.recordSent(prompt("a", "b"), 1, SECOND);
+        assertThat(prefixes.drainUnreported()).hasSize(2);
+        prefixes.recordSent(prompt("a", "b"), 1, 2 * SECOND);
+        assertThat(prefixes.drainUnreported()).isEmpty();
+        prefixes.recordSent(prompt("a", "b"), 1, 10 * SECOND);
+        assertThat(prefixes.drainUnreported()).hasSize(2);
     }
 
     @Test
     void aPartThatWasNotUsedForLongIsForgotten() {
-        prefixes.sent(prompt("a", "b"), 1, SECOND);
-        assertThat(prefixes.readSomewhere("a", 20 * SECOND)).isTrue();
-        assertThat(prefixes.readSomewhere("a", 40 * SECOND)).isFalse();
+        prefixes.recordSent(prompt("a", "b"), 1, SECOND);
+        assertThat(prefixes.isCachedAnywhere("a", 20 * SECOND)).isTrue();
+        assertThat(prefixes.isCachedAnywhere("a", 40 * SECOND)).isFalse();
         assertThat(prefixes.cachedTokens(prompt("a", "b"), 1, 40 * SECOND)).isZero();
     }
 
@@ -55,6 +55,6 @@
                 List.of(new Prompt.Part(first, 100), new Prompt.Part(second, 100), new Prompt.Part("own", 50)),
                 250,
                 10,
-                Pace.SOON);
+                LatencyClass.START_SENSITIVE);
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
@@ -16,7 +16,7 @@
     void theStepIsLearnedFromTheFasterEvents() {
         EngineModel model = new EngineModel();
         for (int i = 0; i < 500; i++) {
-            model.paused(i % 10 < 4 ? 25 : 200, 5);
+            model.recordEventGap(i % 10 < 4 ? 25 : 200, 5);
         }
         assertThat(model.stepMillis()).isCloseTo(5, within(1.0));
     }
@@ -25,18 +25,18 @@
     void anEventAtTheSameMomentSaysNothingOfTheStep() {
         EngineModel model = new EngineModel();
         double before = model.stepMillis();
-        model.paused(0, 5);
+        model.recordEventGap(0, 5);
         assertThat(model.stepMillis()).isEqualTo(before);
     }
 
     @Test
     void theLeadFollowsTheTimeToTheFirstEvent() {
         EngineModel model = new EngineModel();
-        assertThat(model.leadMillis()).isZero();
+        assertThat(model.leadTimeMillis()).isZero();
         for (int i = 0; i < 300; i++) {
-            model.started(i % 2 == 0 ? 200 : 400);
+            model.recordFirstEvent(i % 2 == 0 ? 200 : 400);
         }
-        assertThat(model.leadMillis()).isCloseTo(400, within(40.0));
+        assertThat(model.leadTimeMillis()).isCloseTo(400, within(40.0));
     }
 
     // A deployment of slower engines whose clients wait as much longer must get the same decisions.
@@ -45,8 +45,8 @@
             @ForAll @DoubleRange(min = 20, max = 800) double read,
             @ForAll @IntRange(min = 10, max = 500) int tokens,
             @ForAll @DoubleRange(min = 2, max = 20) double factor) {
-        int streams = model(read, tokens, 5).streamsWithin(7_500);
-        int scaled = model(read * factor, tokens, 5 * factor).streamsWithin(7_500 * factor);
+        int streams = model(read, tokens, 5).maxStreamsWithin(7_500);
+        int scaled = model(read * factor, tokens, 5 * factor).maxStreamsWithin(7_500 * factor);
         // The learned step wavers by some hundredths of itself.
         assertThat(scaled).isCloseTo(streams, within(1 + streams / 20));
     }
@@ -56,7 +56,7 @@
             @ForAll @DoubleRange(min = 20, max = 800) double read, @ForAll @IntRange(min = 10, max = 500) int tokens) {
         EngineModel model = model(read, tokens, 5);
         double answer = tokens * model.stepMillis();
-        int streams = model.streamsWithin(7_500);
+        int streams = model.maxStreamsWithin(7_500);
         if (streams > 1) {
             assertThat(stay(streams, read, answer)).isLessThanOrEqualTo(7_500.001);
         }
@@ -65,7 +65,7 @@
 
     @Test
     void anAnswerThatAloneTakesTheWholeTimeGetsAnEngineForItself() {
-        assertThat(model(100, 5_000, 5).streamsWithin(7_500)).isEqualTo(1);
+        assertThat(model(100, 5_000, 5).maxStreamsWithin(7_500)).isEqualTo(1);
     }
 
     private static double stay(int streams, double read, double answer) {
@@ -75,10 +75,10 @@
 
     private static EngineModel model(double read, int tokens, double step) {
         EngineModel model = new EngineModel();
-        model.placed(read, tokens);
-        model.answered(tokens);
+        model.recordDispatch(read, tokens);
+        model.recordCompletion(tokens);
         for (int i = 0; i < 2_000; i++) {
-            model.paused(step, 1);
+            model.recordEventGap(step, 1);
         }
         return model;
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -18,7 +18,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     private final CachedPrefixes prefixes = new CachedPrefixes();
-    private final EngineSplit split = new EngineSplit();
+    private final EnginePartition split = new EnginePartition();
     private final EngineSelector selector = selector(1, prefixes);
 
     // Eight processes route prompts that begin with the same long part. If each had an engine of its own for it, eight
@@ -27,7 +27,7 @@
     void processesThatKnowNothingOfEachOtherSendAPartToTheSameEngine() {
         List<WorkerLoad> engines = idle(ENGINES);
         for (int part = 0; part < 50; part++) {
-            Prompt prompt = prompt("part-" + part, Pace.PATIENT);
+            Prompt prompt = prompt("part-" + part, LatencyClass.DELAY_TOLERANT);
             String first = selector.select(prompt, engines, SECOND).orElseThrow();
             String second = selector(2, new CachedPrefixes())
                     .select(prompt, engines, SECOND)
@@ -39,13 +39,13 @@
     // A long prompt holds up every step of its engine by some 50 ms; a stream with short pauses beside it is late.
     @Test
     void longPromptsAndStreamsWithShortPausesDoNotMeet() {
-        Map<String, Pace> users = new HashMap<>();
+        Map<String, LatencyClass> users = new HashMap<>();
         List<WorkerLoad> engines = idle(ENGINES);
         for (int i = 0; i < 200; i++) {
-            Pace pace = i % 2 == 0 ? Pace.PATIENT : Pace.SHORT_PAUSES;
-            String engine =
-                    selector.select(prompt("p" + i, pace), engines, SECOND).orElseThrow();
-            assertThat(users.putIfAbsent(engine, pace)).isIn(null, pace);
+            LatencyClass latencyClass = i % 2 == 0 ? LatencyClass.DELAY_TOLERANT : LatencyClass.GAP_SENSITIVE;
+            String engine = selector.select(prompt("p" + i, latencyClass), engines, SECOND)
+                    .orElseThrow();
+            assertThat(users.putIfAbsent(engine, latencyClass)).isIn(null, latencyClass);
         }
     }
 
@@ -58,7 +58,7 @@
         WorkerLoad suspect = engines.get(5);
         oneSuspected.set(5, load(suspect.id(), suspect.address(), 0, 0, true));
         for (int part = 0; part < 50; part++) {
-            Prompt prompt = prompt("part-" + part, Pace.PATIENT);
+            Prompt prompt = prompt("part-" + part, LatencyClass.DELAY_TOLERANT);
             String before = selector.select(prompt, engines, SECOND).orElseThrow();
             String after = selector.select(prompt, oneSuspected, SECOND).orElseThrow();
             if (before.equals(suspect.id())) {
@@ -76,7 +76,7 @@
         List<WorkerLoad> restarted = new ArrayList<>(engines);
         restarted.set(7, load("another-name", engines.get(7).address(), 0, 0, false));
         for (int part = 0; part < 50; part++) {
-            Prompt prompt = prompt("part-" + part, Pace.PATIENT);
+            Prompt prompt = prompt("part-" + part, LatencyClass.DELAY_TOLERANT);
             String before = selector.select(prompt, engines, SECOND).orElseThrow();
             String after = selector.select(prompt, restarted, SECOND).orElseThrow();
             assertThat(after).isEqualTo(before.equals(engines.get(7).id()) ? "another-name" : before);
@@ -87,7 +87,7 @@
     @Test
     void aPartWhoseEngineIsFarBehindIsReadAgainElsewhere() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", Pace.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
         List<WorkerLoad> busy = engines.stream()
                 .map(each -> each.id().equals(home) ? load(home, each.address(), 20, 3_000, false) : each)
@@ -106,7 +106,7 @@
             List<WorkerLoad> behind = idle(60).stream()
                     .map(each -> load(each.id(), each.address(), 5, random.nextInt(3_000), false))
                     .toList();
-            Prompt prompt = prompt("new", Pace.PATIENT);
+            Prompt prompt = prompt("new", LatencyClass.DELAY_TOLERANT);
             readers.add(selector.select(prompt, behind, SECOND).orElseThrow());
         }
         assertThat(readers).hasSizeLessThanOrEqualTo(3);
@@ -118,28 +118,30 @@
     @Test
     void aPartThatWasReadIsUsedAlsoWhereItsEngineIsForAnotherPaceNow() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("part", Pace.PATIENT);
+        Prompt prompt = prompt("part", LatencyClass.DELAY_TOLERANT);
         String first = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.sent(prompt, first.hashCode(), SECOND);
-        EngineSplit changed = new EngineSplit();
-        changed.peer("peer", true, new PaceWork(new double[] {20_000, 20_000, 1_000}), SECOND);
-        EngineSelector after = new EngineSelector("dc", prefixes, changed, Transfer.none(), new Random(3));
+        prefixes.recordSent(prompt, first.hashCode(), SECOND);
+        EnginePartition changed = new EnginePartition();
+        changed.recordPeerWork("peer", true, new LatencyClassWork(new double[] {20_000, 20_000, 1_000}), SECOND);
+        EngineSelector after = new EngineSelector("dc", prefixes, changed, TransferCost.unsupported(), new Random(3));
         assertThat(after.select(prompt, engines, 2 * SECOND)).contains(first);
     }
 
     @Test
     void suspectedEnginesAreUsedWhereThereAreNoOthers() {
         List<WorkerLoad> engines = List.of(load("a", "10.0.0.1:1", 0, 0, true), load("b", "10.0.0.2:1", 0, 0, true));
-        assertThat(selector.select(prompt("p", Pace.SOON), engines, SECOND)).isPresent();
-        assertThat(selector.select(prompt("p", Pace.SOON), List.of(), SECOND)).isEmpty();
+        assertThat(selector.select(prompt("p", LatencyClass.START_SENSITIVE), engines, SECOND))
+                .isPresent();
+        assertThat(selector.select(prompt("p", LatencyClass.START_SENSITIVE), List.of(), SECOND))
+                .isEmpty();
     }
 
     @Test
     void aPromptGoesWhereItsPartsHaveBeenReadThoughThatIsNotTheirHome() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("part", Pace.SOON);
+        Prompt prompt = prompt("part", LatencyClass.START_SENSITIVE);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.sent(prompt, home.hashCode(), SECOND);
+        prefixes.recordSent(prompt, home.hashCode(), SECOND);
         assertThat(prefixes.cachedTokens(prompt, home.hashCode(), 2 * SECOND)).isEqualTo(13_000);
         assertThat(prefixes.cachedTokens(prompt, home.hashCode(), 100 * SECOND)).isZero();
     }
@@ -149,14 +151,14 @@
     @Test
     void anIdleEngineFetchesWhatABusyOneHasRead() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", Pace.PATIENT);
+        Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.sent(prompt, home.hashCode(), SECOND);
+        prefixes.recordSent(prompt, home.hashCode(), SECOND);
         List<WorkerLoad> busy = withLoad(engines, home, 20, 3_000, false);
         assertThat(fetching().choose(prompt, busy, Integer.MAX_VALUE, 3 * SECOND))
-                .isInstanceOfSatisfying(Choice.Engine.class, choice -> {
+                .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
                     assertThat(choice.id()).isNotEqualTo(home);
-                    assertThat(choice.source()).contains(home);
+                    assertThat(choice.fetchSource()).contains(home);
                     assertThat(choice.cachedTokens()).isEqualTo(13_000);
                 });
     }
@@ -165,8 +167,8 @@
     @Test
     void nothingIsFetchedThatMayNotHaveBeenReadYet() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", Pace.PATIENT);
-        prefixes.sent(prompt, engines.get(0).incarnation(), 3 * SECOND);
+        Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
+        prefixes.recordSent(prompt, engines.get(0).incarnation(), 3 * SECOND);
         List<WorkerLoad> busy = withLoad(engines, engines.get(0).id(), 20, 3_000, false);
         assertThat(source(prompt, busy, 3 * SECOND + SECOND / 10)).isEmpty();
         assertThat(source(prompt, busy, 5 * SECOND)).isPresent();
@@ -176,8 +178,8 @@
     @Test
     void nothingIsFetchedFromASuspectedEngine() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("hot", Pace.PATIENT);
-        prefixes.sent(prompt, engines.get(0).incarnation(), SECOND);
+        Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
+        prefixes.recordSent(prompt, engines.get(0).incarnation(), SECOND);
         List<WorkerLoad> suspected = withLoad(engines, engines.get(0).id(), 0, 0, true);
         assertThat(source(prompt, suspected, 3 * SECOND)).isEmpty();
     }
@@ -185,39 +187,39 @@
     @Test
     void aPartIsUsedWhereItIsRatherThanFetchedWhileNobodyWaitsThere() {
         List<WorkerLoad> engines = idle(ENGINES);
-        Prompt prompt = prompt("part", Pace.PATIENT);
+        Prompt prompt = prompt("part", LatencyClass.DELAY_TOLERANT);
         String home = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.sent(prompt, home.hashCode(), SECOND);
+        prefixes.recordSent(prompt, home.hashCode(), SECOND);
         assertThat(fetching().choose(prompt, engines, Integer.MAX_VALUE, 3 * SECOND))
-                .isInstanceOfSatisfying(Choice.Engine.class, choice -> {
+                .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
                     assertThat(choice.id()).isEqualTo(home);
-                    assertThat(choice.source()).isEmpty();
+                    assertThat(choice.fetchSource()).isEmpty();
                 });
     }
 
     @Test
     void onlyEnginesWithRoomAreChosenAndFullOnesAreToldApartFromNone() {
-        Prompt prompt = prompt("p", Pace.PATIENT);
+        Prompt prompt = prompt("p", LatencyClass.DELAY_TOLERANT);
         List<WorkerLoad> full = idle(ENGINES).stream()
                 .map(each -> load(each.id(), each.address(), 20, 0, false))
                 .toList();
-        assertThat(selector.choose(prompt, full, 20, SECOND)).isEqualTo(new Choice.NoRoom());
-        assertThat(selector.choose(prompt, List.of(), 20, SECOND)).isEqualTo(new Choice.NoEngine());
+        assertThat(selector.choose(prompt, full, 20, SECOND)).isEqualTo(new SelectionResult.NoCapacity());
+        assertThat(selector.choose(prompt, List.of(), 20, SECOND)).isEqualTo(new SelectionResult.NoEngine());
         List<WorkerLoad> oneFree = withLoad(full, full.get(3).id(), 19, 0, false);
         assertThat(selector.choose(prompt, oneFree, 20, SECOND))
                 .isInstanceOfSatisfying(
-                        Choice.Engine.class,
+                        SelectionResult.Selected.class,
                         choice -> assertThat(choice.id()).isEqualTo(full.get(3).id()));
     }
 
     private EngineSelector fetching() {
-        Transfer transfer = Transfer.over(160_000, 1_000_000);
+        TransferCost transfer = TransferCost.ofLink(160_000, 1_000_000);
         return new EngineSelector("dc", prefixes, split, transfer, new Random(5));
     }
 
     private Optional<String> source(Prompt prompt, List<WorkerLoad> engines, long nowNanos) {
-        Choice choice = fetching().choose(prompt, engines, Integer.MAX_VALUE, nowNanos);
-        return ((Choice.Engine) choice).source();
+        SelectionResult choice = fetching().choose(prompt, engines, Integer.MAX_VALUE, nowNanos);
+        return ((SelectionResult.Selected) choice).fetchSource();
     }
 
     private static List<WorkerLoad> withLoad(
@@ -234,7 +236,7 @@
     void aClosedEngineGetsNothingAndKeepsItsPlaceAmongTheOthers() {
         List<WorkerLoad> open = idle(9);
         for (int i = 0; i < 40; i++) {
-            Prompt prompt = prompt("part-" + i, Pace.PATIENT);
+            Prompt prompt = prompt("part-" + i, LatencyClass.DELAY_TOLERANT);
             String home =
                     selector(1, new CachedPrefixes()).select(prompt, open, 0).orElseThrow();
             String other = selector(1, new CachedPrefixes())
@@ -246,8 +248,12 @@
             }
         }
         assertThat(selector(1, new CachedPrefixes())
-                        .choose(prompt("p", Pace.SOON), closed(idle(1), "engine-0"), Integer.MAX_VALUE, 0))
-                .isInstanceOf(Choice.NoRoom.class);
+                        .choose(
+                                prompt("p", LatencyClass.START_SENSITIVE),
+                                closed(idle(1), "engine-0"),
+                                Integer.MAX_VALUE,
+                                0))
+                .isInstanceOf(SelectionResult.NoCapacity.class);
     }
 
     private static List<WorkerLoad> closed(List<WorkerLoad> engines, String id) {
@@ -267,16 +273,19 @@
                 engine.interactiveStreams(),
                 engine.prefillMillis(),
                 engine.suspected(),
-                Intake.CLOSED);
+                SendPermission.DENIED);
     }
 
     private EngineSelector selector(long seed, CachedPrefixes cached) {
-        return new EngineSelector("dc", cached, split, Transfer.none(), new Random(seed));
+        return new EngineSelector("dc", cached, split, TransferCost.unsupported(), new Random(seed));
     }
 
-    private static Prompt prompt(String part, Pace pace) {
+    private static Prompt prompt(String part, LatencyClass latencyClass) {
         return new Prompt(
-                List.of(new Prompt.Part(part, 13_000), new Prompt.Part(part + "-own", 1_000)), 14_000, 100, pace);
+                List.of(new Prompt.Part(part, 13_000), new Prompt.Part(part + "-own", 1_000)),
+                14_000,
+                100,
+                latencyClass);
     }
 
     private static List<WorkerLoad> idle(int count) {
@@ -288,6 +297,7 @@
     }
 
     private static WorkerLoad load(String id, String address, int inFlight, double prefill, boolean suspected) {
-        return new WorkerLoad(id, id.hashCode(), address, "dc", 64, inFlight, 0, prefill, suspected, Intake.FREE);
+        return new WorkerLoad(
+                id, id.hashCode(), address, "dc", 64, inFlight, 0, prefill, suspected, SendPermission.UNLIMITED);
     }
 }
