--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/Wire.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
@@ -16,7 +16,7 @@
  *
  * @param <M> the messages
  */
-public final class Wire<M> {
+public final class SimulatedNetwork<M> {
 
     /** Nanoseconds in a millisecond. */
     public static final long MILLISECOND = 1_000_000L;
@@ -41,7 +41,7 @@
      *
      * @param seed of its randomness
      */
-    public Wire(long seed) {
+    public SimulatedNetwork(long seed) {
         random = new Random(seed);
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
@@ -7,13 +7,13 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.dotterelcourse.coordination.Wire;
+import org.dotterelcourse.coordination.SimulatedNetwork;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 class ConfigurationRelayPropertyTest {
 
-    private static final long SECOND = Wire.SECOND;
+    private static final long SECOND = SimulatedNetwork.SECOND;
 
     /**
      * Messages are lost, doubled and late, processes pause and restart, and the service is down or stale, while changes
@@ -74,7 +74,7 @@
         publishSome(fleet, 8);
         fleet.run(15 * SECOND);
         fleet.staleHead = 3;
-        fleet.wire.disturb(0, 0, 300 * Wire.MILLISECOND);
+        fleet.wire.disturb(0, 0, 300 * SimulatedNetwork.MILLISECOND);
         fleet.start(1);
         fleet.run(60 * SECOND);
         assertThat(fleet.inForce.get(1)).containsExactly(fleet.reference.number());
@@ -140,7 +140,7 @@
 
     private static void trouble(RelayFleet fleet, int size, Random random) {
         fleet.wire.heal();
-        fleet.wire.disturb(random.nextDouble() * 0.4, 0.2, random.nextLong(300 * Wire.MILLISECOND) + 1);
+        fleet.wire.disturb(random.nextDouble() * 0.4, 0.2, random.nextLong(300 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
             fleet.wire.cut(random.nextInt(size), random.nextInt(size));
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
@@ -9,17 +9,17 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-import org.dotterelcourse.coordination.Wire;
+import org.dotterelcourse.coordination.SimulatedNetwork;
 
 /** Relays on a wire beside a published sequence that can be down, stale or wrong for one reader. */
 final class RelayFleet {
 
-    private static final long READ_NANOS = 5 * Wire.MILLISECOND;
-    private static final long WATCH_NANOS = 10 * Wire.SECOND;
-    private static final long TICK_NANOS = 100 * Wire.MILLISECOND;
+    private static final long READ_NANOS = 5 * SimulatedNetwork.MILLISECOND;
+    private static final long WATCH_NANOS = 10 * SimulatedNetwork.SECOND;
+    private static final long TICK_NANOS = 100 * SimulatedNetwork.MILLISECOND;
     private static final int READERS = 2;
 
-    final Wire<byte[]> wire;
+    final SimulatedNetwork<byte[]> wire;
     final Map<Integer, ConfigurationRelay> nodes = new TreeMap<>();
     final Map<Integer, List<Long>> inForce = new HashMap<>();
     final List<RelayAlarm> alarms = new ArrayList<>();
@@ -35,7 +35,7 @@
     private record Read(int node, ConfigurationRelay asker, RelayEffect read, long dueNanos) {}
 
     RelayFleet(int size, long seed) {
-        wire = new Wire<>(seed);
+        wire = new SimulatedNetwork<>(seed);
         random = new Random(seed);
         publish(true, "first");
         for (int i = 0; i < size; i++) {
@@ -80,7 +80,7 @@
                         node,
                         new RelayEvent.Received(
                                 "n" + from,
-                                Wire.address(from),
+                                SimulatedNetwork.address(from),
                                 ConfigurationCodec.decode(bytes).orElseThrow())));
         for (int each : nodes.keySet()) {
             tell(each, roster(each));
@@ -115,7 +115,7 @@
         List<RelayPeer> peers = new ArrayList<>();
         for (int node : nodes.keySet()) {
             if (node != self) {
-                peers.add(new RelayPeer("n" + node, Wire.address(node), node % 3 == self % 3));
+                peers.add(new RelayPeer("n" + node, SimulatedNetwork.address(node), node % 3 == self % 3));
             }
         }
         return new RelayEvent.Roster(peers, self / 3 < READERS);
@@ -148,7 +148,7 @@
         for (RelayEffect effect : relay.on(event, wire.now())) {
             if (effect instanceof RelayEffect.SendTo send) {
                 byte[] bytes = ConfigurationCodec.encode(send.message());
-                wire.send(node, Wire.node(send.to()), bytes, false);
+                wire.send(node, SimulatedNetwork.node(send.to()), bytes, false);
             } else if (effect instanceof RelayEffect.InForce changed) {
                 inForce.get(node).add(changed.content().number());
             } else if (effect instanceof RelayEffect.Raised raised) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 
 import org.dotterelcourse.coordination.MemberId;
-import org.dotterelcourse.coordination.Wire;
+import org.dotterelcourse.coordination.SimulatedNetwork;
 
 /** Membership machines on a wire. All messages go through the codec, as they do between processes. */
 final class Fleet {
@@ -20,7 +20,7 @@
     /** A member declared dead by another, with both their positions. */
     record Death(int by, String name, long incarnation, long atNanos) {}
 
-    final Wire<Packet> wire;
+    final SimulatedNetwork<Packet> wire;
     final Map<Integer, Membership> nodes = new TreeMap<>();
     final List<Death> deaths = new ArrayList<>();
     final List<MembershipEffect.PauseNoticed> pauses = new ArrayList<>();
@@ -41,7 +41,7 @@
         this.callersAddress = callersAddress;
         this.settings = settings;
         this.random = new Random(seed);
-        this.wire = new Wire<>(seed);
+        this.wire = new SimulatedNetwork<>(seed);
         for (int i = 0; i < size; i++) {
             start(i, name(i), 1);
         }
@@ -56,7 +56,7 @@
     void list(Collection<Integer> listed) {
         List<ListedVm> vms = new ArrayList<>();
         for (int node : listed) {
-            vms.add(new ListedVm(name(node), Wire.address(node)));
+            vms.add(new ListedVm(name(node), SimulatedNetwork.address(node)));
         }
         list = vms;
     }
@@ -71,7 +71,7 @@
     void start(int node, String name, long incarnation) {
         Membership membership = Membership.builder()
                 .self(new MemberId(name, incarnation))
-                .address(Wire.address(node))
+                .address(SimulatedNetwork.address(node))
                 .payload(new Payload(callersAddress, "dc-" + node % 3, "muscat", 0, 0, 0))
                 .random(new Random(random.nextLong()))
                 .settings(settings)
@@ -95,7 +95,7 @@
     void run(long nanos) {
         long end = wire.now() + nanos;
         while (wire.now() < end) {
-            wire.advanceTo(wire.now() + 10 * Wire.MILLISECOND);
+            wire.advanceTo(wire.now() + 10 * SimulatedNetwork.MILLISECOND);
             for (int node : List.copyOf(nodes.keySet())) {
                 if (!wire.paused(node) && nextTick.get(node) <= wire.now()) {
                     nextTick.put(node, wire.now() + settings.tickNanos());
@@ -135,7 +135,7 @@
     private void receive(int node, int from, Packet packet) {
         MembershipMessage message = MembershipCodec.decode(packet.bytes).orElseThrow();
         Path path = packet.path == Path.DATAGRAM ? Path.DATAGRAM : Path.STREAM;
-        tell(node, new MembershipEvent.Received(Wire.address(from), path, message));
+        tell(node, new MembershipEvent.Received(SimulatedNetwork.address(from), path, message));
     }
 
     private void carryOut(int node, List<MembershipEffect> effects) {
@@ -146,7 +146,7 @@
                     largestDatagram = Math.max(largestDatagram, packet.bytes.length);
                     datagramBytes += packet.bytes.length;
                 }
-                wire.send(node, Wire.node(send.to()), packet, send.path() != Path.DATAGRAM);
+                wire.send(node, SimulatedNetwork.node(send.to()), packet, send.path() != Path.DATAGRAM);
             } else if (effect instanceof MembershipEffect.Changed changed) {
                 note(node, changed.member());
             } else if (effect instanceof MembershipEffect.PauseNoticed pause) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipBoundsTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipBoundsTest.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import org.dotterelcourse.coordination.Wire;
+import org.dotterelcourse.coordination.SimulatedNetwork;
 import org.dotterelcourse.coordination.transport.TransportLimits;
 import org.junit.jupiter.api.Test;
 
@@ -12,7 +12,7 @@
 
 class MembershipBoundsTest {
 
-    private static final long SECOND = Wire.SECOND;
+    private static final long SECOND = SimulatedNetwork.SECOND;
     private static final MembershipSettings STANDARD = MembershipSettings.STANDARD;
 
     /**
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipCodecPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipCodecPropertyTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.dotterelcourse.coordination.MemberId;
-import org.dotterelcourse.coordination.Wire;
+import org.dotterelcourse.coordination.SimulatedNetwork;
 import org.dotterelcourse.coordination.membership.MembershipMessage.Ack;
 import org.dotterelcourse.coordination.membership.MembershipMessage.Body;
 import org.dotterelcourse.coordination.membership.MembershipMessage.Gossip;
@@ -62,14 +62,14 @@
                 random.nextInt(1_000));
         MemberState state = MemberState.values()[random.nextInt(4)];
         MemberId id = new MemberId("entry-" + random.nextInt(400), random.nextLong());
-        return new Update(id, Wire.address(random.nextInt(60_000)), state, payload, random.nextLong());
+        return new Update(id, SimulatedNetwork.address(random.nextInt(60_000)), state, payload, random.nextLong());
     }
 
     private static Body body(Random random) {
         return switch (random.nextInt(6)) {
             case 0 -> new Ping(random.nextLong(), "entry-1");
             case 1 -> new Ack(random.nextLong(), random.nextBoolean());
-            case 2 -> new PingRequest(random.nextLong(), "entry-2", Wire.address(5));
+            case 2 -> new PingRequest(random.nextLong(), "entry-2", SimulatedNetwork.address(5));
             case 3 -> new Sync(random.nextLong());
             case 4 -> new Table(random.nextBoolean());
             default -> new Gossip();
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.dotterelcourse.coordination.Wire;
+import org.dotterelcourse.coordination.SimulatedNetwork;
 import org.dotterelcourse.coordination.ownership.CellId;
 import org.dotterelcourse.coordination.ownership.Ownership;
 
@@ -16,7 +16,7 @@
 
 class MembershipPropertyTest {
 
-    private static final long SECOND = Wire.SECOND;
+    private static final long SECOND = SimulatedNetwork.SECOND;
     private static final MembershipSettings SETTINGS = MembershipSettings.STANDARD;
 
     /**
@@ -82,7 +82,7 @@
     void lossAloneMakesNobodyDead(
             @ForAll @IntRange(min = 3, max = 14) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
-        fleet.wire.disturb(0.05, 0.05, 20 * Wire.MILLISECOND);
+        fleet.wire.disturb(0.05, 0.05, 20 * SimulatedNetwork.MILLISECOND);
         fleet.run(180 * SECOND);
         assertThat(fleet.deaths).isEmpty();
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
@@ -143,7 +143,7 @@
         fleet.run(30 * SECOND);
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
         for (Membership each : fleet.nodes.values()) {
-            assertThat(each.members()).noneMatch(member -> member.address().equals(Wire.address(0)));
+            assertThat(each.members()).noneMatch(member -> member.address().equals(SimulatedNetwork.address(0)));
         }
     }
 
@@ -215,7 +215,7 @@
             @ForAll @IntRange(min = 2, max = 12) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
-        fleet.wire.disturb(0.05, 0.1, 50 * Wire.MILLISECOND);
+        fleet.wire.disturb(0.05, 0.1, 50 * SimulatedNetwork.MILLISECOND);
         fleet.tell(0, new MembershipEvent.Leave());
         fleet.run(15 * SECOND);
         for (int round = 0; round < 10; round++) {
@@ -234,7 +234,7 @@
 
     private static void trouble(Fleet fleet, int size, Random random, long incarnation) {
         fleet.wire.heal();
-        fleet.wire.disturb(random.nextDouble() * 0.3, 0.1, random.nextLong(200 * Wire.MILLISECOND) + 1);
+        fleet.wire.disturb(random.nextDouble() * 0.3, 0.1, random.nextLong(200 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
             fleet.wire.cut(random.nextInt(size), random.nextInt(size));
         }
