--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
@@ -100,7 +100,7 @@
      * @param duplicationRate share of datagrams that come twice
      * @param delayNanos longest delay
      */
-    public void disturb(double lossRate, double duplicationRate, long delayNanos) {
+    public void setFaults(double lossRate, double duplicationRate, long delayNanos) {
         loss = lossRate;
         duplication = duplicationRate;
         maxDelayNanos = delayNanos;
@@ -121,7 +121,7 @@
      */
     public void heal() {
         cuts.clear();
-        disturb(0, 0, 2 * MILLISECOND);
+        setFaults(0, 0, 2 * MILLISECOND);
     }
 
     /**
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
@@ -74,7 +74,7 @@
         publishSome(fleet, 8);
         fleet.run(15 * SECOND);
         fleet.staleHead = 3;
-        fleet.wire.disturb(0, 0, 300 * SimulatedNetwork.MILLISECOND);
+        fleet.wire.setFaults(0, 0, 300 * SimulatedNetwork.MILLISECOND);
         fleet.start(1);
         fleet.run(60 * SECOND);
         assertThat(fleet.inForce.get(1)).containsExactly(fleet.reference.number());
@@ -140,7 +140,7 @@
 
     private static void trouble(RelayFleet fleet, int size, Random random) {
         fleet.wire.heal();
-        fleet.wire.disturb(random.nextDouble() * 0.4, 0.2, random.nextLong(300 * SimulatedNetwork.MILLISECOND) + 1);
+        fleet.wire.setFaults(random.nextDouble() * 0.4, 0.2, random.nextLong(300 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
             fleet.wire.cut(random.nextInt(size), random.nextInt(size));
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
@@ -82,7 +82,7 @@
     void lossAloneMakesNobodyDead(
             @ForAll @IntRange(min = 3, max = 14) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
-        fleet.wire.disturb(0.05, 0.05, 20 * SimulatedNetwork.MILLISECOND);
+        fleet.wire.setFaults(0.05, 0.05, 20 * SimulatedNetwork.MILLISECOND);
         fleet.run(180 * SECOND);
         assertThat(fleet.deaths).isEmpty();
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
@@ -215,7 +215,7 @@
             @ForAll @IntRange(min = 2, max = 12) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
-        fleet.wire.disturb(0.05, 0.1, 50 * SimulatedNetwork.MILLISECOND);
+        fleet.wire.setFaults(0.05, 0.1, 50 * SimulatedNetwork.MILLISECOND);
         fleet.tell(0, new MembershipEvent.Leave());
         fleet.run(15 * SECOND);
         for (int round = 0; round < 10; round++) {
@@ -234,7 +234,7 @@
 
     private static void trouble(Fleet fleet, int size, Random random, long incarnation) {
         fleet.wire.heal();
-        fleet.wire.disturb(random.nextDouble() * 0.3, 0.1, random.nextLong(200 * SimulatedNetwork.MILLISECOND) + 1);
+        fleet.wire.setFaults(random.nextDouble() * 0.3, 0.1, random.nextLong(200 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
             fleet.wire.cut(random.nextInt(size), random.nextInt(size));
         }
@@ -248,7 +248,7 @@
                     fleet.stop(node);
                 }
             }
-            default -> fleet.wire.disturb(0.5, 0, SECOND);
+            default -> fleet.wire.setFaults(0.5, 0, SECOND);
         }
     }
 
