--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
@@ -119,7 +119,7 @@
     /**
      * Ends all cuts and disturbance.
      */
-    public void heal() {
+    public void clearFaults() {
         cuts.clear();
         setFaults(0, 0, 2 * MILLISECOND);
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
@@ -29,7 +29,7 @@
             fleet.run(random.nextLong(6 * SECOND) + 1);
             assertNumbersRise(fleet);
         }
-        fleet.wire.heal();
+        fleet.wire.clearFaults();
         fleet.serviceDown = false;
         fleet.staleHead = Long.MAX_VALUE;
         fleet.run(90 * SECOND);
@@ -139,7 +139,7 @@
     }
 
     private static void trouble(RelayFleet fleet, int size, Random random) {
-        fleet.wire.heal();
+        fleet.wire.clearFaults();
         fleet.wire.setFaults(random.nextDouble() * 0.4, 0.2, random.nextLong(300 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
             fleet.wire.cut(random.nextInt(size), random.nextInt(size));
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
@@ -33,7 +33,7 @@
             trouble(fleet, size, random, 2 + round);
             fleet.run(5 * SECOND);
         }
-        fleet.wire.heal();
+        fleet.wire.clearFaults();
         fleet.run(120 * SECOND);
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
         assertOwnersAgree(fleet);
@@ -99,7 +99,7 @@
         fleet.run(20 * SECOND);
         partition(fleet, size);
         fleet.run(120 * SECOND);
-        fleet.wire.heal();
+        fleet.wire.clearFaults();
         fleet.deaths.clear();
         fleet.run(120 * SECOND);
         assertThat(fleet.deaths).noneMatch(death -> inFirstHalf(death.by(), size) == inFirstHalf(death.name(), size));
@@ -117,7 +117,7 @@
         fleet.run(30 * SECOND);
         partition(fleet, size);
         fleet.run(40 * SECOND);
-        fleet.wire.heal();
+        fleet.wire.clearFaults();
         fleet.deaths.clear();
         fleet.run(40 * SECOND);
         assertThat(fleet.deaths).noneMatch(death -> inFirstHalf(death.by(), size) == inFirstHalf(death.name(), size));
@@ -233,7 +233,7 @@
     }
 
     private static void trouble(Fleet fleet, int size, Random random, long incarnation) {
-        fleet.wire.heal();
+        fleet.wire.clearFaults();
         fleet.wire.setFaults(random.nextDouble() * 0.3, 0.1, random.nextLong(200 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
             fleet.wire.cut(random.nextInt(size), random.nextInt(size));
