--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
@@ -112,7 +112,7 @@
      * @param from the sender
      * @param to the receiver
      */
-    public void cut(int from, int to) {
+    public void blockLink(int from, int to) {
         cuts.add(pair(from, to));
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
@@ -142,7 +142,7 @@
         fleet.wire.clearFaults();
         fleet.wire.setFaults(random.nextDouble() * 0.4, 0.2, random.nextLong(300 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
-            fleet.wire.cut(random.nextInt(size), random.nextInt(size));
+            fleet.wire.blockLink(random.nextInt(size), random.nextInt(size));
         }
         fleet.serviceDown = random.nextInt(4) == 0;
         fleet.staleHead = random.nextInt(4) == 0 ? 1 + random.nextInt(5) : Long.MAX_VALUE;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
@@ -68,7 +68,7 @@
             @ForAll @IntRange(min = 3, max = 12) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
-        fleet.wire.cut(0, 1);
+        fleet.wire.blockLink(0, 1);
         fleet.run(120 * SECOND);
         assertThat(fleet.deaths).isEmpty();
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
@@ -236,7 +236,7 @@
         fleet.wire.clearFaults();
         fleet.wire.setFaults(random.nextDouble() * 0.3, 0.1, random.nextLong(200 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
-            fleet.wire.cut(random.nextInt(size), random.nextInt(size));
+            fleet.wire.blockLink(random.nextInt(size), random.nextInt(size));
         }
         int node = random.nextInt(size);
         switch (random.nextInt(5)) {
@@ -255,8 +255,8 @@
     private static void partition(Fleet fleet, int size) {
         for (int a = 0; a < size / 2; a++) {
             for (int b = size / 2; b < size; b++) {
-                fleet.wire.cut(a, b);
-                fleet.wire.cut(b, a);
+                fleet.wire.blockLink(a, b);
+                fleet.wire.blockLink(b, a);
             }
         }
     }
