--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
@@ -140,7 +140,7 @@
      * @param node the node
      * @return whether it is
      */
-    public boolean paused(int node) {
+    public boolean isPaused(int node) {
         return pausedUntil.getOrDefault(node, 0L) > nowNanos;
     }
 
@@ -180,7 +180,7 @@
     }
 
     private void deliver(Flight<M> flight) {
-        if (paused(flight.to)) {
+        if (isPaused(flight.to)) {
             flights.add(new Flight<>(flight.from, flight.to, flight.message, pausedUntil.get(flight.to), order++));
             return;
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
@@ -123,7 +123,7 @@
 
     private void tick() {
         for (int node : List.copyOf(nodes.keySet())) {
-            if (wire.paused(node)) {
+            if (wire.isPaused(node)) {
                 continue;
             }
             tell(node, new RelayEvent.Tick());
@@ -164,7 +164,7 @@
     private void answerReads() {
         for (Read read : List.copyOf(pending)) {
             boolean news = read.read instanceof RelayEffect.Watch watch && !serviceDown && head() > watch.after();
-            boolean due = wire.now() >= read.dueNanos && !wire.paused(read.node);
+            boolean due = wire.now() >= read.dueNanos && !wire.isPaused(read.node);
             if (news || due) {
                 pending.remove(read);
                 if (nodes.get(read.node) == read.asker) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
@@ -97,7 +97,7 @@
         while (wire.now() < end) {
             wire.advanceTo(wire.now() + 10 * SimulatedNetwork.MILLISECOND);
             for (int node : List.copyOf(nodes.keySet())) {
-                if (!wire.paused(node) && nextTick.get(node) <= wire.now()) {
+                if (!wire.isPaused(node) && nextTick.get(node) <= wire.now()) {
                     nextTick.put(node, wire.now() + settings.tickNanos());
                     tell(node, new MembershipEvent.Tick());
                 }
