--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
@@ -70,7 +70,7 @@
      *
      * @return nanoseconds since the start
      */
-    public long now() {
+    public long nowNanos() {
         return nowNanos;
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
@@ -72,7 +72,7 @@
         nodes.put(
                 node,
                 new ConfigurationRelay(
-                        RelayFleet::fold, RelaySettings.STANDARD, new Random(random.nextLong()), wire.now()));
+                        RelayFleet::fold, RelaySettings.STANDARD, new Random(random.nextLong()), wire.nowNanos()));
         inForce.put(node, new ArrayList<>());
         wire.attach(
                 node,
@@ -88,11 +88,11 @@
     }
 
     void run(long nanos) {
-        long end = wire.now() + nanos;
-        while (wire.now() < end) {
-            wire.advanceTo(wire.now() + TICK_NANOS / 10);
+        long end = wire.nowNanos() + nanos;
+        while (wire.nowNanos() < end) {
+            wire.advanceTo(wire.nowNanos() + TICK_NANOS / 10);
             answerReads();
-            if (wire.now() / (TICK_NANOS / 10) % 10 == 0) {
+            if (wire.nowNanos() / (TICK_NANOS / 10) % 10 == 0) {
                 tick();
             }
         }
@@ -145,7 +145,7 @@
 
     private void tell(int node, RelayEvent event) {
         ConfigurationRelay relay = nodes.get(node);
-        for (RelayEffect effect : relay.on(event, wire.now())) {
+        for (RelayEffect effect : relay.on(event, wire.nowNanos())) {
             if (effect instanceof RelayEffect.SendTo send) {
                 byte[] bytes = ConfigurationCodec.encode(send.message());
                 wire.send(node, SimulatedNetwork.node(send.to()), bytes, false);
@@ -156,7 +156,7 @@
             } else if (!(effect instanceof RelayEffect.Advanced || effect instanceof RelayEffect.Refused)) {
                 reads++;
                 long wait = effect instanceof RelayEffect.Watch ? WATCH_NANOS : READ_NANOS;
-                pending.add(new Read(node, relay, effect, wire.now() + wait));
+                pending.add(new Read(node, relay, effect, wire.nowNanos() + wait));
             }
         }
     }
@@ -164,7 +164,7 @@
     private void answerReads() {
         for (Read read : List.copyOf(pending)) {
             boolean news = read.read instanceof RelayEffect.Watch watch && !serviceDown && head() > watch.after();
-            boolean due = wire.now() >= read.dueNanos && !wire.isPaused(read.node);
+            boolean due = wire.nowNanos() >= read.dueNanos && !wire.isPaused(read.node);
             if (news || due) {
                 pending.remove(read);
                 if (nodes.get(read.node) == read.asker) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
@@ -75,9 +75,9 @@
                 .payload(new Payload(callersAddress, "dc-" + node % 3, "muscat", 0, 0, 0))
                 .random(new Random(random.nextLong()))
                 .settings(settings)
-                .build(wire.now());
+                .build(wire.nowNanos());
         nodes.put(node, membership);
-        nextTick.put(node, wire.now() + random.nextLong(settings.tickNanos()));
+        nextTick.put(node, wire.nowNanos() + random.nextLong(settings.tickNanos()));
         wire.attach(node, (from, packet) -> receive(node, from, packet));
         tell(node, new MembershipEvent.Listed(list));
     }
@@ -88,17 +88,17 @@
     }
 
     void tell(int node, MembershipEvent event) {
-        carryOut(node, nodes.get(node).on(event, wire.now()));
+        carryOut(node, nodes.get(node).on(event, wire.nowNanos()));
     }
 
     /** Runs for a while; a paused node does not tick. */
     void run(long nanos) {
-        long end = wire.now() + nanos;
-        while (wire.now() < end) {
-            wire.advanceTo(wire.now() + 10 * SimulatedNetwork.MILLISECOND);
+        long end = wire.nowNanos() + nanos;
+        while (wire.nowNanos() < end) {
+            wire.advanceTo(wire.nowNanos() + 10 * SimulatedNetwork.MILLISECOND);
             for (int node : List.copyOf(nodes.keySet())) {
-                if (!wire.isPaused(node) && nextTick.get(node) <= wire.now()) {
-                    nextTick.put(node, wire.now() + settings.tickNanos());
+                if (!wire.isPaused(node) && nextTick.get(node) <= wire.nowNanos()) {
+                    nextTick.put(node, wire.nowNanos() + settings.tickNanos());
                     tell(node, new MembershipEvent.Tick());
                 }
             }
@@ -159,7 +159,7 @@
 
     private void note(int node, Member member) {
         if (member.state() == MemberState.DEAD) {
-            deaths.add(new Death(node, member.name(), member.id().incarnation(), wire.now()));
+            deaths.add(new Death(node, member.name(), member.id().incarnation(), wire.nowNanos()));
         }
     }
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
@@ -201,7 +201,7 @@
             fleet.list(fleet.nodes.keySet());
             fleet.tellList();
         }
-        long before = fleet.wire.now();
+        long before = fleet.wire.nowNanos();
         fleet.run(30 * SECOND);
         return fleet.deaths.get(0).atNanos() - before;
     }
@@ -273,7 +273,7 @@
         List<String> owners = new ArrayList<>();
         for (Membership each : fleet.nodes.values()) {
             StringBuilder all = new StringBuilder();
-            Ownership ownership = new Ownership(each.members(), 0, fleet.wire.now());
+            Ownership ownership = new Ownership(each.members(), 0, fleet.wire.nowNanos());
             for (int i = 0; i < 20; i++) {
                 all.append(ownership
                         .owner(new CellId("llm", "muscat", i))
