--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Ownership.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Ownership.java
@@ -63,7 +63,7 @@
      * @param region the customer's region
      * @return the daemon, empty when nobody is alive
      */
-    public Optional<Member> home(String customer, String region) {
+    public Optional<Member> customerOwner(String customer, String region) {
         return first(CUSTOMER + customer, region);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -204,7 +204,7 @@
     }
 
     private Optional<String> homeOf(String customer) {
-        return ownership.home(customer, region).map(Member::name);
+        return ownership.customerOwner(customer, region).map(Member::name);
     }
 
     private void carryOut(List<LimitEffect> effects) {
