--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Ownership.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Ownership.java
@@ -90,7 +90,7 @@
      * @param count how many addresses
      * @return up to that many, all alive, the same as long as they are alive
      */
-    public List<Member> addresses(String customer, String dataCentre, String region, int count) {
+    public List<Member> preferredMembers(String customer, String dataCentre, String region, int count) {
         String key = ADDRESS + customer;
         Predicate<Member> near = inDataCentre(dataCentre);
         List<Member> own = order(key, alive, near);
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ownership/OwnershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ownership/OwnershipPropertyTest.java
@@ -91,7 +91,8 @@
         List<Member> members = fleet(size);
         members.set(0, inState(members.get(0), MemberState.SUSPECT, 10 * SECOND));
         members.set(1, inState(members.get(1), MemberState.LEAVING, 0));
-        List<Member> addresses = new Ownership(members, SECOND, 10 * SECOND).addresses("bank", "dc-2", "r-0", count);
+        List<Member> addresses =
+                new Ownership(members, SECOND, 10 * SECOND).preferredMembers("bank", "dc-2", "r-0", count);
         assertThat(addresses).hasSize(Math.min(count, size - 2)).doesNotContain(members.get(0), members.get(1));
         assertThat(addresses.get(0).payload().dataCentre()).isEqualTo("dc-2");
         assertThat(addresses)
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -277,7 +277,7 @@
         List<Member> reachable = view.stream().filter(Peers::servesCallers).toList();
         Ownership ownership = new Ownership(reachable, 0, System.nanoTime());
         List<CallerAddress> addresses = new ArrayList<>();
-        for (Member member : ownership.addresses(caller, settings.dataCentre(), settings.region(), ADDRESSES)) {
+        for (Member member : ownership.preferredMembers(caller, settings.dataCentre(), settings.region(), ADDRESSES)) {
             boolean near = member.payload().dataCentre().equals(settings.dataCentre());
             addresses.add(new CallerAddress(
                     member.payload().callersAddress(), member.payload().dataCentre(), near ? 2 : 1));
