--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Cells.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Cells.java
@@ -34,7 +34,7 @@
      * @param workers their names
      * @return cells in order of their index, none of them above {@link #MAX_WORKERS}; a cell may be empty
      */
-    public static List<Cell> cut(String upstream, String region, Collection<String> workers) {
+    public static List<Cell> partition(String upstream, String region, Collection<String> workers) {
         List<CellId> ids = new ArrayList<>();
         for (int i = 0; i < count(workers.size()); i++) {
             ids.add(new CellId(upstream, region, i));
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ownership/OwnershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ownership/OwnershipPropertyTest.java
@@ -102,7 +102,7 @@
     @Property(seed = "16", tries = 60)
     void cellsHoldEachWorkerOnceAndStayWithinTheBound(@ForAll @IntRange(max = 700) int size) {
         Set<String> seen = new HashSet<>();
-        for (Cell cell : Cells.cut("llm", "muscat", workers(size))) {
+        for (Cell cell : Cells.partition("llm", "muscat", workers(size))) {
             assertThat(cell.workers()).hasSizeLessThanOrEqualTo(Cells.MAX_WORKERS);
             cell.workers().forEach(worker -> assertThat(seen.add(worker)).isTrue());
         }
@@ -129,7 +129,7 @@
 
     private static Map<String, CellId> cellOf(List<String> workers) {
         Map<String, CellId> cells = new HashMap<>();
-        for (Cell cell : Cells.cut("llm", "muscat", workers)) {
+        for (Cell cell : Cells.partition("llm", "muscat", workers)) {
             cell.workers().forEach(worker -> cells.put(worker, cell.id()));
         }
         return cells;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellMap.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellMap.java
@@ -28,7 +28,7 @@
         Map<String, CellWorkers> cells = new TreeMap<>();
         for (Upstream upstream : configuration.upstreams()) {
             List<String> names = upstream.workers().stream().map(Worker::name).toList();
-            for (Cell cell : Cells.cut(upstream.name(), upstream.region(), names)) {
+            for (Cell cell : Cells.partition(upstream.name(), upstream.region(), names)) {
                 cells.put(cell.id().key(), workers(cell, upstream, leaving));
             }
         }
