--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
@@ -105,7 +105,7 @@
      *
      * @return true up to {@link #MOST_DIRECT} processes
      */
-    public boolean direct() {
+    public boolean isDirect() {
         return size <= MOST_DIRECT;
     }
 
@@ -115,7 +115,7 @@
      * @return false in a small fleet
      */
     public boolean collector() {
-        return !direct()
+        return !isDirect()
                 && collectorsByDataCentre.getOrDefault(dataCentre, List.of()).contains(self);
     }
 
@@ -125,7 +125,7 @@
      * @return names, of all data centres; empty in a small fleet
      */
     public List<String> otherCollectors() {
-        if (direct()) {
+        if (isDirect()) {
             return List.of();
         }
         return collectorsByDataCentre.values().stream()
@@ -142,7 +142,7 @@
      * @return empty if this process is a collector itself or there is nobody to report to
      */
     public Optional<String> collectorOf(Set<String> avoided) {
-        if (direct() || collector()) {
+        if (isDirect() || collector()) {
             return Optional.empty();
         }
         List<String> collectors = collectorsByDataCentre.getOrDefault(dataCentre, List.of());
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
@@ -27,7 +27,7 @@
     void aSmallFleetHasNoCollectors() {
         List<Member> view = fleet(CollectorPlan.MOST_DIRECT);
         CollectorPlan plan = CollectorPlan.of("vm-0", view);
-        assertThat(plan.direct()).isTrue();
+        assertThat(plan.isDirect()).isTrue();
         assertThat(plan.collector()).isFalse();
         assertThat(plan.otherCollectors()).isEmpty();
         assertThat(plan.collectorOf(Set.of())).isEmpty();
@@ -147,7 +147,7 @@
             List<Member> changed =
                     view.stream().map(member -> stated(member, state)).toList();
             CollectorPlan plan = CollectorPlan.of("vm-0", changed);
-            assertThat(plan.direct()).isTrue();
+            assertThat(plan.isDirect()).isTrue();
             assertThat(plan.readingOrder()).containsExactly("vm-0");
             assertThat(plan.relay()).isTrue();
         }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -164,13 +164,13 @@
         state.processes(others.size() + 1);
         notices = new Notices(
                 state.quarantine().takeNotices(now), state.workers().limits().takeNotices(now));
-        if (plan.direct()) {
+        if (plan.isDirect()) {
             tellAll(now);
         } else {
             tellByPlan(now);
         }
         long period = Math.max(DIRECT_PERIOD_MILLIS, MILLIS_PER_PEER * others.size());
-        loop.atNext(plan.direct() ? period : PERIOD_MILLIS, this::tell);
+        loop.atNext(plan.isDirect() ? period : PERIOD_MILLIS, this::tell);
     }
 
     private boolean isOther(Member member) {
@@ -345,7 +345,7 @@
     }
 
     private void places(PeerLoads.Scope scope, FleetProtos.LoadReport report, long now) {
-        boolean direct = plan == null || plan.direct();
+        boolean direct = plan == null || plan.isDirect();
         int count = Math.min(report.getPartsCount(), report.getPartWorkersCount());
         for (int i = 0; i < count; i++) {
             CachedPrefixes.Place place = new CachedPrefixes.Place(report.getParts(i), report.getPartWorkers(i));
