--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
@@ -114,7 +114,7 @@
      *
      * @return false in a small fleet
      */
-    public boolean collector() {
+    public boolean isCollector() {
         return !isDirect()
                 && collectorsByDataCentre.getOrDefault(dataCentre, List.of()).contains(self);
     }
@@ -142,7 +142,7 @@
      * @return empty if this process is a collector itself or there is nobody to report to
      */
     public Optional<String> collectorOf(Set<String> avoided) {
-        if (isDirect() || collector()) {
+        if (isDirect() || isCollector()) {
             return Optional.empty();
         }
         List<String> collectors = collectorsByDataCentre.getOrDefault(dataCentre, List.of());
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
@@ -28,7 +28,7 @@
         List<Member> view = fleet(CollectorPlan.MOST_DIRECT);
         CollectorPlan plan = CollectorPlan.of("vm-0", view);
         assertThat(plan.isDirect()).isTrue();
-        assertThat(plan.collector()).isFalse();
+        assertThat(plan.isCollector()).isFalse();
         assertThat(plan.otherCollectors()).isEmpty();
         assertThat(plan.collectorOf(Set.of())).isEmpty();
     }
@@ -43,8 +43,8 @@
         for (Member member : view) {
             CollectorPlan plan = CollectorPlan.of(member.name(), view);
             Optional<String> to = plan.collectorOf(Set.of());
-            assertThat(to.isPresent()).isEqualTo(!plan.collector());
-            if (plan.collector()) {
+            assertThat(to.isPresent()).isEqualTo(!plan.isCollector());
+            if (plan.isCollector()) {
                 collectors.add(member.name());
             }
             to.ifPresent(name -> {
@@ -112,7 +112,7 @@
         List<Member> view = fleet(30);
         String reporter = view.stream()
                 .map(Member::name)
-                .filter(name -> !CollectorPlan.of(name, view).collector())
+                .filter(name -> !CollectorPlan.of(name, view).isCollector())
                 .findFirst()
                 .orElseThrow();
         CollectorPlan plan = CollectorPlan.of(reporter, view);
@@ -128,7 +128,7 @@
     void aProcessThatIsLostMovesNobodyElsesReports() {
         List<Member> view = fleet(120);
         for (Member lost : view) {
-            if (CollectorPlan.of(lost.name(), view).collector()) {
+            if (CollectorPlan.of(lost.name(), view).isCollector()) {
                 continue;
             }
             List<Member> without = new ArrayList<>(view);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -215,7 +215,7 @@
             }
         }
         places.addAll(reportedPlaces);
-        if (plan.collector()) {
+        if (plan.isCollector()) {
             Map<Integer, PeerLoads.Load> sum = state.workers().gathered(now);
             if (due(COLLECTORS, sum, places, now)) {
                 byte[] gathered = report(FleetProtos.LoadReport.Kind.GATHERED, sum, "", places, now);
