--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
@@ -141,7 +141,7 @@
      * @param avoided names of collectors that were silent lately
      * @return empty if this process is a collector itself or there is nobody to report to
      */
-    public Optional<String> collectorOf(Set<String> avoided) {
+    public Optional<String> collector(Set<String> avoided) {
         if (isDirect() || isCollector()) {
             return Optional.empty();
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
@@ -30,7 +30,7 @@
         assertThat(plan.isDirect()).isTrue();
         assertThat(plan.isCollector()).isFalse();
         assertThat(plan.otherCollectors()).isEmpty();
-        assertThat(plan.collectorOf(Set.of())).isEmpty();
+        assertThat(plan.collector(Set.of())).isEmpty();
     }
 
     // If a report reached nobody, the load of its process would be missing in everybody's sums; if it reached two
@@ -42,7 +42,7 @@
         Map<String, Integer> reporters = new HashMap<>();
         for (Member member : view) {
             CollectorPlan plan = CollectorPlan.of(member.name(), view);
-            Optional<String> to = plan.collectorOf(Set.of());
+            Optional<String> to = plan.collector(Set.of());
             assertThat(to.isPresent()).isEqualTo(!plan.isCollector());
             if (plan.isCollector()) {
                 collectors.add(member.name());
@@ -116,8 +116,8 @@
                 .findFirst()
                 .orElseThrow();
         CollectorPlan plan = CollectorPlan.of(reporter, view);
-        String first = plan.collectorOf(Set.of()).orElseThrow();
-        String second = plan.collectorOf(Set.of(first)).orElseThrow();
+        String first = plan.collector(Set.of()).orElseThrow();
+        String second = plan.collector(Set.of(first)).orElseThrow();
         assertThat(second).isNotEqualTo(first).isNotEqualTo(reporter);
         assertThat(dataCentre(second, view)).isEqualTo(dataCentre(first, view));
     }
@@ -134,8 +134,8 @@
             List<Member> without = new ArrayList<>(view);
             without.remove(lost);
             for (Member member : without) {
-                assertThat(CollectorPlan.of(member.name(), without).collectorOf(Set.of()))
-                        .isEqualTo(CollectorPlan.of(member.name(), view).collectorOf(Set.of()));
+                assertThat(CollectorPlan.of(member.name(), without).collector(Set.of()))
+                        .isEqualTo(CollectorPlan.of(member.name(), view).collector(Set.of()));
             }
         }
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -207,7 +207,7 @@
     private void tellByPlan(long now) {
         reporters.values().removeIf(heard -> now - heard > SILENT_MILLIS * NANOS_PER_MILLI);
         List<CachedPrefixes.Place> places = state.prefixes().takeUntold();
-        Optional<String> to = plan.collectorOf(avoided(now));
+        Optional<String> to = plan.collector(avoided(now));
         if (to.isPresent()) {
             Map<Integer, PeerLoads.Load> own = state.workers().own(now);
             if (due(ALL, own, places, now)) {
@@ -237,7 +237,7 @@
     /** Collectors that are silent are not asked again for a while. */
     private Set<String> avoided(long now) {
         avoided.values().removeIf(since -> now - since > AVOIDED_MILLIS * NANOS_PER_MILLI);
-        String wanted = plan.collectorOf(avoided.keySet()).orElse("");
+        String wanted = plan.collector(avoided.keySet()).orElse("");
         if (!wanted.equals(collector)) {
             collector = wanted;
             collectorNanos = now;
