--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
@@ -43,7 +43,7 @@
     private final Map<String, List<String>> collectorsByDataCentre = new TreeMap<>();
     private final Map<String, List<String>> orderByDataCentre = new TreeMap<>();
     private final Map<String, String> relays = new TreeMap<>();
-    private final List<String> readingOrder;
+    private final List<String> readerCandidates;
     private final String dataCentre;
 
     private CollectorPlan(String self, List<Member> members) {
@@ -56,11 +56,11 @@
                     .add(member.name());
         }
         names.forEach(this::plan);
-        readingOrder = readingOrder(members);
+        readerCandidates = readerCandidates(members);
     }
 
     /** The relays come first, so that the first two stand in two data centres. */
-    private List<String> readingOrder(List<Member> members) {
+    private List<String> readerCandidates(List<Member> members) {
         List<String> order = new ArrayList<>(Rendezvous.order(READS, relays.values()));
         List<String> others = members.stream()
                 .map(Member::name)
@@ -158,8 +158,8 @@
      *
      * @return the names of all, the first of each data centre before the rest
      */
-    public List<String> readingOrder() {
-        return readingOrder;
+    public List<String> readerCandidates() {
+        return readerCandidates;
     }
 
     /**
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
@@ -66,14 +66,14 @@
     @Property(tries = 100, seed = "7")
     void allAgreeOnAnOrderOfReadersWhoseFirstTwoStandInTwoDataCentres(@ForAll @IntRange(min = 3, max = 200) int size) {
         List<Member> view = fleet(size);
-        List<String> order = CollectorPlan.of("vm-0", view).readingOrder();
+        List<String> order = CollectorPlan.of("vm-0", view).readerCandidates();
         assertThat(order)
                 .containsExactlyInAnyOrderElementsOf(
                         view.stream().map(Member::name).toList());
         assertThat(CollectorPlan.of("vm-0", view).readers()).isEqualTo(2);
         assertThat(dataCentre(order.get(0), view)).isNotEqualTo(dataCentre(order.get(1), view));
         for (Member member : view) {
-            assertThat(CollectorPlan.of(member.name(), view).readingOrder()).isEqualTo(order);
+            assertThat(CollectorPlan.of(member.name(), view).readerCandidates()).isEqualTo(order);
         }
     }
 
@@ -148,7 +148,7 @@
                     view.stream().map(member -> stated(member, state)).toList();
             CollectorPlan plan = CollectorPlan.of("vm-0", changed);
             assertThat(plan.isDirect()).isTrue();
-            assertThat(plan.readingOrder()).containsExactly("vm-0");
+            assertThat(plan.readerCandidates()).containsExactly("vm-0");
             assertThat(plan.relay()).isTrue();
         }
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -154,7 +154,9 @@
                     .duty()
                     .order(
                             id(peers.self()),
-                            plan.readingOrder().stream().map(FleetExchange::id).toList(),
+                            plan.readerCandidates().stream()
+                                    .map(FleetExchange::id)
+                                    .toList(),
                             plan.readers());
             others = view.stream().filter(this::isOther).map(Member::name).toList();
             state.workers().fleet(peers.self(), others, now);
