--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
@@ -168,7 +168,7 @@
      *
      * @return 1 if there is one data centre only
      */
-    public int readers() {
+    public int readerCount() {
         return Math.min(MOST_READERS, Math.max(1, relays.size()));
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
@@ -70,7 +70,7 @@
         assertThat(order)
                 .containsExactlyInAnyOrderElementsOf(
                         view.stream().map(Member::name).toList());
-        assertThat(CollectorPlan.of("vm-0", view).readers()).isEqualTo(2);
+        assertThat(CollectorPlan.of("vm-0", view).readerCount()).isEqualTo(2);
         assertThat(dataCentre(order.get(0), view)).isNotEqualTo(dataCentre(order.get(1), view));
         for (Member member : view) {
             assertThat(CollectorPlan.of(member.name(), view).readerCandidates()).isEqualTo(order);
@@ -82,7 +82,7 @@
         List<Member> view = fleet(30).stream()
                 .filter(member -> member.payload().dataCentre().equals("dc-0"))
                 .toList();
-        assertThat(CollectorPlan.of("vm-0", view).readers()).isEqualTo(1);
+        assertThat(CollectorPlan.of("vm-0", view).readerCount()).isEqualTo(1);
     }
 
     // What a reader has read goes to one process of each other data centre, and from there on. If two passed it on, or
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -157,7 +157,7 @@
                             plan.readerCandidates().stream()
                                     .map(FleetExchange::id)
                                     .toList(),
-                            plan.readers());
+                            plan.readerCount());
             others = view.stream().filter(this::isOther).map(Member::name).toList();
             state.workers().fleet(peers.self(), others, now);
             state.quarantine().peersChanged();
