--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
@@ -177,7 +177,7 @@
      *
      * @return true for one process of each data centre
      */
-    public boolean relay() {
+    public boolean isRelay() {
         return self.equals(relays.get(dataCentre));
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
@@ -92,7 +92,7 @@
         List<Member> view = fleet(size);
         List<String> relays = view.stream()
                 .map(Member::name)
-                .filter(name -> CollectorPlan.of(name, view).relay())
+                .filter(name -> CollectorPlan.of(name, view).isRelay())
                 .toList();
         assertThat(relays.stream().map(name -> dataCentre(name, view)))
                 .hasSize(DATA_CENTRES)
@@ -149,7 +149,7 @@
             CollectorPlan plan = CollectorPlan.of("vm-0", changed);
             assertThat(plan.isDirect()).isTrue();
             assertThat(plan.readerCandidates()).containsExactly("vm-0");
-            assertThat(plan.relay()).isTrue();
+            assertThat(plan.isRelay()).isTrue();
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
@@ -178,7 +178,7 @@
             boolean ahead = position.isAfter(publications.position());
             StorePosition after = new StorePosition(items.getAfterEra(), items.getAfter());
             boolean news = publications.relayed(published, after, position);
-            if ((news || ahead) && far(peer) && plan().relay()) {
+            if ((news || ahead) && far(peer) && plan().isRelay()) {
                 sendNear(body);
             }
         } else {
