--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/example/OwnerExample.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/example/OwnerExample.java
@@ -67,7 +67,7 @@
         members.add(new OwnerExample("entry-3", "seeb-hall"));
         ListedVm seed = new ListedVm("entry-1", members.get(0).transport.address());
         for (OwnerExample member : members.subList(1, members.size())) {
-            member.driver.submit(new MembershipEvent.Listed(List.of(seed)));
+            member.driver.submit(new MembershipEvent.VmListReceived(List.of(seed)));
         }
         String owner = awaitAgreement(members, "");
         System.out.println("all three name " + owner + " as the owner of " + CELL.key());
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
@@ -80,7 +80,7 @@
 
     void start(List<ListedVm> seeds) {
         transport.execute(() -> threadId = Thread.currentThread().getId());
-        membershipDriver.submit(new MembershipEvent.Listed(seeds));
+        membershipDriver.submit(new MembershipEvent.VmListReceived(seeds));
         membershipDriver.start(TICK_NANOS);
         configurationDriver.start(TICK_NANOS);
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
@@ -83,7 +83,7 @@
             tick(nowNanos);
         } else if (event instanceof MembershipEvent.Received received) {
             receive(received, nowNanos);
-        } else if (event instanceof MembershipEvent.Listed list) {
+        } else if (event instanceof MembershipEvent.VmListReceived list) {
             listed(list.vms(), nowNanos);
         } else if (event instanceof MembershipEvent.PayloadChanged changed) {
             self.payload(changed.payload());
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEvent.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEvent.java
@@ -24,7 +24,7 @@
      *
      * @param vms the daemons' VMs on the list, without this process's own
      */
-    record Listed(List<ListedVm> vms) implements MembershipEvent {}
+    record VmListReceived(List<ListedVm> vms) implements MembershipEvent {}
 
     /**
      * What this process tells about itself has changed.
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
@@ -63,7 +63,7 @@
 
     void tellList() {
         for (int node : List.copyOf(nodes.keySet())) {
-            tell(node, new MembershipEvent.Listed(list));
+            tell(node, new MembershipEvent.VmListReceived(list));
         }
     }
 
@@ -79,7 +79,7 @@
         nodes.put(node, membership);
         nextTick.put(node, wire.nowNanos() + random.nextLong(settings.tickNanos()));
         wire.attach(node, (from, packet) -> receive(node, from, packet));
-        tell(node, new MembershipEvent.Listed(list));
+        tell(node, new MembershipEvent.VmListReceived(list));
     }
 
     void stop(int node) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/LoopbackMembershipTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/LoopbackMembershipTest.java
@@ -71,7 +71,7 @@
         }
         ListedVm seed = new ListedVm("entry-0", nodes.get(0).transport.address());
         for (Node node : nodes.subList(1, count)) {
-            node.driver.submit(new MembershipEvent.Listed(List.of(seed)));
+            node.driver.submit(new MembershipEvent.VmListReceived(List.of(seed)));
         }
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -329,7 +329,7 @@
                 .filter(vm -> vm.kind().equals(Vm.ENTRY) && !vm.name().equals(settings.name()))
                 .map(vm -> new ListedVm(vm.name(), address(vm.address())))
                 .toList();
-        driver.submit(new MembershipEvent.Listed(others));
+        driver.submit(new MembershipEvent.VmListReceived(others));
     }
 
     private void changed(MembershipEffect effect) {
