--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
@@ -89,7 +89,7 @@
             self.payload(changed.payload());
         } else if (event instanceof MembershipEvent.Leave) {
             leave(MemberState.LEAVING);
-        } else if (event instanceof MembershipEvent.Depart) {
+        } else if (event instanceof MembershipEvent.Shutdown) {
             leave(MemberState.DEAD);
             silenced = true;
         }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEvent.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEvent.java
@@ -37,5 +37,5 @@
     record Leave() implements MembershipEvent {}
 
     /** This process ends now; the machine sends a last message and is silent from then on. */
-    record Depart() implements MembershipEvent {}
+    record Shutdown() implements MembershipEvent {}
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
@@ -224,7 +224,7 @@
                 assertThat(fleet.state(node, Fleet.name(0))).isIn(MemberState.LEAVING, MemberState.SUSPECT);
             }
         }
-        fleet.tell(0, new MembershipEvent.Depart());
+        fleet.tell(0, new MembershipEvent.Shutdown());
         fleet.stop(0);
         fleet.run(5 * SECOND);
         for (int node : fleet.nodes.keySet()) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -130,7 +130,7 @@
 
     @Override
     public void stop() {
-        driver.submit(new MembershipEvent.Depart());
+        driver.submit(new MembershipEvent.Shutdown());
         transport.execute(() -> {});
         transport.close();
     }
