--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationDriver.java
@@ -72,7 +72,7 @@
      * @param members the view after the effect, this process included
      */
     public void membershipChanged(MembershipEffect effect, MemberId self, List<Member> members) {
-        if (effect instanceof MembershipEffect.Changed changed) {
+        if (effect instanceof MembershipEffect.MemberChanged changed) {
             Member member = changed.member();
             if (!changed.payloadOnly()) {
                 handle(roster(self, members));
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
@@ -161,7 +161,7 @@
     }
 
     private void membershipTold(MembershipEffect effect) {
-        if (effect instanceof MembershipEffect.Changed changed) {
+        if (effect instanceof MembershipEffect.MemberChanged changed) {
             note(changed.member());
         }
         configurationDriver.membershipChanged(effect, membership.self(), membership.members());
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
@@ -243,7 +243,7 @@
             return;
         }
         Member after = table.member(claim.id().name());
-        out.add(new MembershipEffect.Changed(after, merge == MemberTable.Merge.PAYLOAD));
+        out.add(new MembershipEffect.MemberChanged(after, merge == MemberTable.Merge.PAYLOAD));
         if (merge == MemberTable.Merge.PAYLOAD) {
             return;
         }
@@ -315,13 +315,13 @@
     private void announce(String name) {
         Member member = table.member(name);
         rumours.add(member.update());
-        out.add(new MembershipEffect.Changed(member, false));
+        out.add(new MembershipEffect.MemberChanged(member, false));
     }
 
     private void leave(MemberState state) {
         self.state(state);
         rumours.add(self.update());
-        out.add(new MembershipEffect.Changed(own(), false));
+        out.add(new MembershipEffect.MemberChanged(own(), false));
         spread(URGENT_FAN_OUT);
     }
 
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEffect.java
@@ -22,7 +22,7 @@
      * @param member the member as seen from now on
      * @param payloadOnly whether nothing but the payload changed, which happens often
      */
-    record Changed(Member member, boolean payloadOnly) implements MembershipEffect {}
+    record MemberChanged(Member member, boolean payloadOnly) implements MembershipEffect {}
 
     /**
      * A member that has long been dead is no longer remembered.
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
@@ -147,7 +147,7 @@
                     datagramBytes += packet.bytes.length;
                 }
                 wire.send(node, SimulatedNetwork.node(send.to()), packet, send.path() != Path.DATAGRAM);
-            } else if (effect instanceof MembershipEffect.Changed changed) {
+            } else if (effect instanceof MembershipEffect.MemberChanged changed) {
                 note(node, changed.member());
             } else if (effect instanceof MembershipEffect.PauseNoticed pause) {
                 pauses.add(pause);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -333,7 +333,7 @@
     }
 
     private void changed(MembershipEffect effect) {
-        if (effect instanceof MembershipEffect.Changed changed) {
+        if (effect instanceof MembershipEffect.MemberChanged changed) {
             audit(changed.member());
         } else if (effect instanceof MembershipEffect.PauseNoticed paused) {
             audit.add(
