--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
@@ -137,7 +137,7 @@
         if (gap <= settings.pauseNanos()) {
             return;
         }
-        out.add(new MembershipEffect.PauseNoticed(gap));
+        out.add(new MembershipEffect.PauseDetected(gap));
         prober.abandon(nowNanos);
         slowDown();
         suspicions.restart(nowNanos + suspicionTimeout());
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEffect.java
@@ -52,5 +52,5 @@
      *
      * @param gapNanos time without any event
      */
-    record PauseNoticed(long gapNanos) implements MembershipEffect {}
+    record PauseDetected(long gapNanos) implements MembershipEffect {}
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
@@ -23,7 +23,7 @@
     final SimulatedNetwork<Packet> wire;
     final Map<Integer, Membership> nodes = new TreeMap<>();
     final List<Death> deaths = new ArrayList<>();
-    final List<MembershipEffect.PauseNoticed> pauses = new ArrayList<>();
+    final List<MembershipEffect.PauseDetected> pauses = new ArrayList<>();
     final List<MembershipEffect.Superseded> superseded = new ArrayList<>();
     int largestDatagram;
     long datagramBytes;
@@ -149,7 +149,7 @@
                 wire.send(node, SimulatedNetwork.node(send.to()), packet, send.path() != Path.DATAGRAM);
             } else if (effect instanceof MembershipEffect.MemberChanged changed) {
                 note(node, changed.member());
-            } else if (effect instanceof MembershipEffect.PauseNoticed pause) {
+            } else if (effect instanceof MembershipEffect.PauseDetected pause) {
                 pauses.add(pause);
             } else if (effect instanceof MembershipEffect.Superseded by) {
                 superseded.add(by);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -335,7 +335,7 @@
     private void changed(MembershipEffect effect) {
         if (effect instanceof MembershipEffect.MemberChanged changed) {
             audit(changed.member());
-        } else if (effect instanceof MembershipEffect.PauseNoticed paused) {
+        } else if (effect instanceof MembershipEffect.PauseDetected paused) {
             audit.add(
                     AuditEvent.Kind.PROCESS,
                     settings.name(),
