--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipCodec.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipCodec.java
@@ -115,7 +115,7 @@
                 .setStateValue(update.state().ordinal())
                 .setPayloadVersion(update.payloadVersion())
                 .setPayload(PayloadProto.newBuilder()
-                        .setCallersAddress(payload.callersAddress())
+                        .setCallersAddress(payload.clientAddress())
                         .setDataCentre(payload.dataCentre())
                         .setRegion(payload.region())
                         .setConfigurationNumber(payload.configurationNumber())
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Payload.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Payload.java
@@ -3,7 +3,7 @@
 /**
  * What a member tells about itself with each of its messages.
  *
- * @param callersAddress where callers connect, IP number and port
+ * @param clientAddress where callers connect, IP number and port
  * @param dataCentre the member's data centre
  * @param region the member's region
  * @param configurationNumber the number that it has in force, 0 for none
@@ -11,7 +11,7 @@
  * @param loadPermille load in thousandths of its capacity, a hint
  */
 public record Payload(
-        String callersAddress,
+        String clientAddress,
         String dataCentre,
         String region,
         long configurationNumber,
@@ -26,7 +26,7 @@
      * @return the changed payload
      */
     public Payload withConfiguration(long number, long digest) {
-        return new Payload(callersAddress, dataCentre, region, number, digest, loadPermille);
+        return new Payload(clientAddress, dataCentre, region, number, digest, loadPermille);
     }
 
     /**
@@ -36,6 +36,6 @@
      * @return the changed payload
      */
     public Payload withLoad(int permille) {
-        return new Payload(callersAddress, dataCentre, region, configurationNumber, configurationDigest, permille);
+        return new Payload(clientAddress, dataCentre, region, configurationNumber, configurationDigest, permille);
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/UpdateSize.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/UpdateSize.java
@@ -12,7 +12,7 @@
         Payload payload = update.payload();
         return FIXED
                 + update.id().name().length()
-                + payload.callersAddress().length()
+                + payload.clientAddress().length()
                 + payload.dataCentre().length()
                 + payload.region().length();
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/MemberReport.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/MemberReport.java
@@ -40,7 +40,7 @@
                 TimeUnit.NANOSECONDS.toSeconds(nowNanos - member.sinceNanos()),
                 member.address().getAddress().getHostAddress() + ":"
                         + member.address().getPort(),
-                member.payload().callersAddress(),
+                member.payload().clientAddress(),
                 member.payload().dataCentre(),
                 member.payload().region(),
                 member.payload().configurationNumber());
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -280,7 +280,7 @@
         for (Member member : ownership.preferredMembers(caller, settings.dataCentre(), settings.region(), ADDRESSES)) {
             boolean near = member.payload().dataCentre().equals(settings.dataCentre());
             addresses.add(new CallerAddress(
-                    member.payload().callersAddress(), member.payload().dataCentre(), near ? 2 : 1));
+                    member.payload().clientAddress(), member.payload().dataCentre(), near ? 2 : 1));
         }
         return addresses;
     }
@@ -288,7 +288,7 @@
     /** A daemon that has just started listens before it has a configuration, and would turn callers away. */
     private static boolean servesCallers(Member member) {
         Payload told = member.payload();
-        return !told.callersAddress().isEmpty() && told.configurationNumber() > 0;
+        return !told.clientAddress().isEmpty() && told.configurationNumber() > 0;
     }
 
     /**
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
@@ -79,12 +79,12 @@
             serving.addAll(suspects);
         }
         Collections.shuffle(serving);
-        return serving.stream().map(member -> member.payload().callersAddress()).toList();
+        return serving.stream().map(member -> member.payload().clientAddress()).toList();
     }
 
     private static boolean serves(Member member) {
         boolean told =
-                !member.payload().callersAddress().isEmpty() && member.payload().configurationNumber() > 0;
+                !member.payload().clientAddress().isEmpty() && member.payload().configurationNumber() > 0;
         return told && (member.state() == MemberState.ALIVE || member.state() == MemberState.SUSPECT);
     }
 }
