--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/ListedVm.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/ListedVm.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * A VM on the platform's list.
+ * An entry of the platform's list of VMs.
  *
  * @param name the VM's name
- * @param address the peer port of its daemon
+ * @param address IP address and peer port of the daemon on this VM
  */
 public record ListedVm(String name, InetSocketAddress address) {}
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Member.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Member.java
@@ -5,14 +5,14 @@
 import org.dotterelcourse.coordination.MemberId;
 
 /**
- * A member as one process sees it.
+ * A member of the fleet as seen by one process.
  *
- * @param id name and highest incarnation heard of
- * @param address the member's peer port
- * @param state its state
- * @param payload the newest that was heard of what it tells about itself
+ * @param id the member's name and the highest incarnation received
+ * @param address the member's IP address and peer port
+ * @param state the member's state in the local view
+ * @param payload the newest payload received from or about the member
  * @param payloadVersion version of the payload within the incarnation
- * @param sinceNanos when this process learned of the state, on its own monotonic clock
+ * @param sinceNanos when the local process recorded this state, in nanoseconds of its own monotonic clock
  */
 public record Member(
         MemberId id,
@@ -23,7 +23,7 @@
         long sinceNanos) {
 
     /**
-     * The name of the member's VM.
+     * Returns the name of the member's VM.
      *
      * @return the name without the incarnation
      */
@@ -32,19 +32,19 @@
     }
 
     /**
-     * This view as a statement for others.
+     * Converts this view to an update that can be sent to other members.
      *
-     * @return the statement
+     * @return the update
      */
     public Update update() {
         return new Update(id, address, state, payload, payloadVersion);
     }
 
-    Member withState(MemberState changed, long nowNanos) {
-        return new Member(id, address, changed, payload, payloadVersion, nowNanos);
+    Member withState(MemberState newState, long nowNanos) {
+        return new Member(id, address, newState, payload, payloadVersion, nowNanos);
     }
 
-    Member withPayload(Payload changed, long version) {
-        return new Member(id, address, state, changed, version, sinceNanos);
+    Member withPayload(Payload newPayload, long version) {
+        return new Member(id, address, state, newPayload, version, sinceNanos);
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MemberState.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MemberState.java
@@ -1,16 +1,17 @@
 package org.dotterelcourse.coordination.membership;
 
 /**
- * State of a member within one incarnation. The order matters: of two statements with the same incarnation the later
- * constant wins, so that all members end with the same state whatever order the statements arrive in.
+ * State of a member within one incarnation. The order of the constants is significant: of two updates with the same
+ * incarnation the one with the later constant wins, so that all members converge on the same state in whichever order
+ * the updates arrive.
  */
 public enum MemberState {
-    /** Answers probes, or was told of by one who does. */
+    /** Answers probes, or is reported alive by another member. */
     ALIVE,
-    /** Is shutting down by its own word: it finishes what it has and takes nothing on. */
+    /** Has announced its shutdown: it completes its work and accepts no new work. */
     LEAVING,
-    /** Left a probe unanswered; may still refute with a higher incarnation. */
+    /** Did not answer a probe; it can refute the suspicion with a higher incarnation. */
     SUSPECT,
-    /** Did not refute in time, or said that it ends. */
+    /** Did not refute the suspicion in time, or announced that it exits. */
     DEAD
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MemberTable.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MemberTable.java
@@ -12,14 +12,17 @@
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
 
-/** The other members by name. Statements are merged by incarnation and state, so their order does not matter. */
+/**
+ * The other members by name. Updates are merged by incarnation and state, so the result does not depend on the order in
+ * which they arrive.
+ */
 final class MemberTable {
 
-    /** What a statement changed. */
-    enum Merge {
-        NOTHING,
-        PAYLOAD,
-        STATE
+    /** What a merge changed in the table. */
+    enum MergeResult {
+        UNCHANGED,
+        PAYLOAD_CHANGED,
+        STATE_CHANGED
     }
 
     private static final Hasher64 HASHER = Hashing.komihash5_0();
@@ -35,21 +38,22 @@
         return members.get(name);
     }
 
-    Collection<Member> all() {
+    Collection<Member> members() {
         return members.values();
     }
 
-    List<Member> where(Predicate<Member> condition) {
-        List<Member> found = new ArrayList<>();
+    List<Member> matching(Predicate<Member> condition) {
+        List<Member> matches = new ArrayList<>();
         for (Member member : members.values()) {
             if (condition.test(member)) {
-                found.add(member);
+                matches.add(member);
             }
         }
-        return found;
+        return matches;
     }
 
-    int livingCount() {
+    /** Returns the number of members in any state except {@link MemberState#DEAD}. */
+    int liveCount() {
         int count = 0;
         for (Member member : members.values()) {
             if (member.state() != MemberState.DEAD) {
@@ -60,43 +64,50 @@
     }
 
     /**
-     * Merges a statement. A process that was paused or cut off declares live members dead, and its news would turn
-     * owners over in a healthy part of the fleet. So another's word that a member is dead, which is not even suspected
-     * here, only makes it a suspect: it is asked directly, and refutes within a round trip if it lives.
+     * Merges an update. A process that was paused or partitioned declares live members dead, and accepting its reports
+     * would change owners in a healthy part of the fleet. If a third party reports the death of a member that is alive
+     * in this table, the member therefore only becomes suspect: it is probed directly and refutes the suspicion within
+     * a round trip if it is alive.
+     *
+     * @param fromSubject whether the update was sent by the member that it describes
      */
-    Merge merge(Update claim, boolean firstHand, long nowNanos) {
-        Member known = members.get(claim.id().name());
-        if (known == null) {
-            return add(claim, nowNanos);
+    MergeResult merge(Update update, boolean fromSubject, long nowNanos) {
+        Member current = members.get(update.id().name());
+        if (current == null) {
+            return add(update, nowNanos);
         }
-        if (!claim.overrides(known.id().incarnation(), known.state())) {
-            return refresh(known, claim);
+        if (!update.overrides(current.id().incarnation(), current.state())) {
+            return mergePayload(current, update);
         }
-        boolean hearsayDeath = claim.state() == MemberState.DEAD && !firstHand;
-        boolean unsuspected = hearsayDeath && known.state() == MemberState.ALIVE;
-        MemberState state = unsuspected ? MemberState.SUSPECT : claim.state();
-        put(known, claim, state, nowNanos);
-        return Merge.STATE;
+        boolean thirdPartyDeath = update.state() == MemberState.DEAD && !fromSubject;
+        boolean suspectOnly = thirdPartyDeath && current.state() == MemberState.ALIVE;
+        MemberState state = suspectOnly ? MemberState.SUSPECT : update.state();
+        replace(current, update, state, nowNanos);
+        return MergeResult.STATE_CHANGED;
     }
 
     void changeState(Member member, MemberState state, long nowNanos) {
         members.put(member.name(), member.withState(state, nowNanos));
     }
 
-    List<Member> forget(long nowNanos, long ageNanos) {
-        List<Member> forgotten = new ArrayList<>();
-        Iterator<Member> each = members.values().iterator();
-        while (each.hasNext()) {
-            Member member = each.next();
-            if (member.state() == MemberState.DEAD && nowNanos - member.sinceNanos() > ageNanos) {
-                each.remove();
-                forgotten.add(member);
+    /** Removes and returns the members that have been dead for longer than {@code retentionNanos}. */
+    List<Member> evictDead(long nowNanos, long retentionNanos) {
+        List<Member> evicted = new ArrayList<>();
+        Iterator<Member> iterator = members.values().iterator();
+        while (iterator.hasNext()) {
+            Member member = iterator.next();
+            if (member.state() == MemberState.DEAD && nowNanos - member.sinceNanos() > retentionNanos) {
+                iterator.remove();
+                evicted.add(member);
             }
         }
-        return forgotten;
+        return evicted;
     }
 
-    /** Equal in two processes that know the same living members; states that change for seconds only are left out. */
+    /**
+     * Returns a digest of the names and incarnations of all members that are not dead, this process included. States are
+     * not part of the digest because some last only seconds.
+     */
     long digest(Update self) {
         long sum = self.state() == MemberState.DEAD ? 0 : digestOf(self);
         for (Member member : members.values()) {
@@ -107,7 +118,8 @@
         return sum;
     }
 
-    boolean holds(InetSocketAddress address) {
+    /** Returns whether a member that is not dead has this address. */
+    boolean hasLiveMemberAt(InetSocketAddress address) {
         for (Member member : members.values()) {
             if (member.state() != MemberState.DEAD && member.address().equals(address)) {
                 return true;
@@ -123,33 +135,36 @@
                 .getAsLong();
     }
 
-    /** A dead member that isn't known is left out: else the fleet would never forget one. */
-    private Merge add(Update claim, long nowNanos) {
-        if (claim.state() == MemberState.DEAD || members.size() >= maxMembers) {
-            return Merge.NOTHING;
+    /**
+     * Adds an unknown member unless it is dead. Otherwise members would pass evicted entries back to one another, and
+     * no dead member would ever be removed from the fleet.
+     */
+    private MergeResult add(Update update, long nowNanos) {
+        if (update.state() == MemberState.DEAD || members.size() >= maxMembers) {
+            return MergeResult.UNCHANGED;
         }
         Member member = new Member(
-                claim.id(), claim.address(), claim.state(), claim.payload(), claim.payloadVersion(), nowNanos);
+                update.id(), update.address(), update.state(), update.payload(), update.payloadVersion(), nowNanos);
         members.put(member.name(), member);
-        return Merge.STATE;
+        return MergeResult.STATE_CHANGED;
     }
 
-    private Merge refresh(Member known, Update claim) {
-        boolean newer =
-                claim.id().incarnation() == known.id().incarnation() && claim.payloadVersion() > known.payloadVersion();
+    private MergeResult mergePayload(Member current, Update update) {
+        boolean newer = update.id().incarnation() == current.id().incarnation()
+                && update.payloadVersion() > current.payloadVersion();
         if (!newer) {
-            return Merge.NOTHING;
+            return MergeResult.UNCHANGED;
         }
-        members.put(known.name(), known.withPayload(claim.payload(), claim.payloadVersion()));
-        return Merge.PAYLOAD;
+        members.put(current.name(), current.withPayload(update.payload(), update.payloadVersion()));
+        return MergeResult.PAYLOAD_CHANGED;
     }
 
-    private void put(Member known, Update claim, MemberState state, long nowNanos) {
-        boolean sameLife = claim.id().incarnation() == known.id().incarnation();
-        boolean olderPayload = sameLife && claim.payloadVersion() < known.payloadVersion();
-        Payload payload = olderPayload ? known.payload() : claim.payload();
-        long version = olderPayload ? known.payloadVersion() : claim.payloadVersion();
-        long since = state == known.state() ? known.sinceNanos() : nowNanos;
-        members.put(known.name(), new Member(claim.id(), claim.address(), state, payload, version, since));
+    private void replace(Member current, Update update, MemberState state, long nowNanos) {
+        boolean sameIncarnation = update.id().incarnation() == current.id().incarnation();
+        boolean olderPayload = sameIncarnation && update.payloadVersion() < current.payloadVersion();
+        Payload payload = olderPayload ? current.payload() : update.payload();
+        long version = olderPayload ? current.payloadVersion() : update.payloadVersion();
+        long since = state == current.state() ? current.sinceNanos() : nowNanos;
+        members.put(current.name(), new Member(update.id(), update.address(), state, payload, version, since));
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Membership.java
@@ -16,31 +16,34 @@
 import org.dotterelcourse.coordination.membership.MembershipMessage.Table;
 
 /**
- * One process's view of who is in the fleet, as a state machine: it takes events with their time and returns effects,
- * opens no socket and reads no clock. Not safe for use by several threads.
+ * The local view of the fleet's members, maintained by SWIM as a state machine: it takes events with their times and
+ * returns effects, performs no I/O and reads no clock. Not thread-safe.
  *
- * <p>A process that was paused believes that the others were silent. It notices its pause by the gap between two
- * events, drops the probe that was running and gives all suspects their whole time again, before it handles anything.
+ * <p>To a process that was paused, the other members seem to have been silent. The state machine detects a pause by the
+ * gap between two events. Before it handles the next event, it cancels the current probe and restarts all suspicion
+ * timeouts.
  */
 public final class Membership {
 
-    private static final int MAX_SLOWNESS = 4;
-    private static final int URGENT_FAN_OUT = 5;
-    private static final int JOIN_PERIODS = 10;
+    private static final int MAX_TIMEOUT_MULTIPLIER = 4;
+    private static final int LEAVE_FAN_OUT = 5;
+    private static final int STARTUP_GRACE_PROBE_PERIODS = 10;
 
     private final MembershipSettings settings;
     private final RandomGenerator random;
-    private final SelfRecord self;
+    private final LocalMember self;
     private final MemberTable table;
-    private final Rumours rumours = new Rumours();
+    private final GossipQueue gossip = new GossipQueue();
     private final Suspicions suspicions = new Suspicions();
     private final Outbox out;
     private final Prober prober;
     private final TableExchange exchange;
     private final long startNanos;
-    private List<ListedVm> listed = List.of();
-    private boolean silenced;
-    private int slowness = 1;
+    private List<ListedVm> vmList = List.of();
+    private boolean stopped;
+    /** Raised by a pause or a refutation, lowered by an answered probe (Lifeguard's local health multiplier). */
+    private int timeoutMultiplier = 1;
+
     private long lastEventNanos;
     private long nextGossipNanos;
 
@@ -49,19 +52,19 @@
         random = builder.random;
         startNanos = nowNanos;
         lastEventNanos = nowNanos;
-        long joinNanos = JOIN_PERIODS * settings.probePeriodNanos();
-        self = new SelfRecord(builder.self, builder.address, builder.payload, nowNanos, joinNanos);
+        long startupGraceNanos = STARTUP_GRACE_PROBE_PERIODS * settings.probePeriodNanos();
+        self = new LocalMember(builder.self, builder.address, builder.payload, nowNanos, startupGraceNanos);
         table = new MemberTable(settings.maxMembers());
-        out = new Outbox(self, table, rumours, random);
+        out = new Outbox(self, table, gossip, random);
         prober = new Prober(self, table, settings, random, out, nowNanos);
-        exchange = new TableExchange(self, table, rumours, settings, random, out, nowNanos);
+        exchange = new TableExchange(self, table, gossip, settings, random, out, nowNanos);
         nextGossipNanos = nowNanos;
     }
 
     /**
-     * Starts the description of a machine.
+     * Returns a builder.
      *
-     * @return a builder
+     * @return a new builder
      */
     public static MembershipBuilder builder() {
         return new MembershipBuilder();
@@ -70,95 +73,96 @@
     /**
      * Handles one event.
      *
-     * @param event what happened
-     * @param nowNanos the time on the monotonic clock, never lower than at the event before
-     * @return what is to be done, in order
+     * @param event the event
+     * @param nowNanos current monotonic time in nanoseconds, not lower than at the previous event
+     * @return the effects to execute, in order; empty once this process has stopped
      */
     public List<MembershipEffect> on(MembershipEvent event, long nowNanos) {
-        if (silenced) {
+        if (stopped) {
             return List.of();
         }
-        noticePause(nowNanos);
+        detectPause(nowNanos);
         if (event instanceof MembershipEvent.Tick) {
             tick(nowNanos);
         } else if (event instanceof MembershipEvent.Received received) {
             receive(received, nowNanos);
         } else if (event instanceof MembershipEvent.VmListReceived list) {
-            listed(list.vms(), nowNanos);
+            updateVmList(list.vms(), nowNanos);
         } else if (event instanceof MembershipEvent.PayloadChanged changed) {
-            self.payload(changed.payload());
+            self.setPayload(changed.payload());
         } else if (event instanceof MembershipEvent.Leave) {
             leave(MemberState.LEAVING);
         } else if (event instanceof MembershipEvent.Shutdown) {
             leave(MemberState.DEAD);
-            silenced = true;
+            stopped = true;
         }
         return out.drain();
     }
 
     /**
-     * This process's identity.
+     * Returns the identity of this process.
      *
-     * @return its name and present incarnation
+     * @return its name and current incarnation
      */
     public MemberId self() {
         return self.id();
     }
 
     /**
-     * Whether this process speaks no more, because it departed or was replaced.
+     * Returns whether this membership ignores events and sends nothing, because its process was shut down or replaced.
      *
-     * @return true once silent; it stays so
+     * @return true once stopped; a stopped membership cannot be restarted
      */
-    public boolean silenced() {
-        return silenced;
+    public boolean isStopped() {
+        return stopped;
     }
 
     /**
-     * The fleet as seen from here.
+     * Returns the local view of the fleet.
      *
-     * @return this process first, then all others, dead ones included until they are forgotten
+     * @return this process first, then all other members, including dead ones until they are evicted
      */
     public List<Member> members() {
-        List<Member> members = new ArrayList<>(table.all().size() + 1);
-        members.add(own());
-        members.addAll(table.all());
+        List<Member> members = new ArrayList<>(table.members().size() + 1);
+        members.add(selfMember());
+        members.addAll(table.members());
         return members;
     }
 
-    private Member own() {
-        Update own = self.update();
-        return new Member(own.id(), own.address(), own.state(), own.payload(), own.payloadVersion(), startNanos);
+    private Member selfMember() {
+        Update update = self.update();
+        return new Member(
+                update.id(), update.address(), update.state(), update.payload(), update.payloadVersion(), startNanos);
     }
 
-    private void noticePause(long nowNanos) {
-        long gap = nowNanos - lastEventNanos;
+    private void detectPause(long nowNanos) {
+        long gapNanos = nowNanos - lastEventNanos;
         lastEventNanos = nowNanos;
-        if (gap <= settings.pauseNanos()) {
+        if (gapNanos <= settings.pauseThresholdNanos()) {
             return;
         }
-        out.add(new MembershipEffect.PauseDetected(gap));
-        prober.abandon(nowNanos);
-        slowDown();
-        suspicions.restart(nowNanos + suspicionTimeout());
-        exchange.soon(nowNanos);
+        out.add(new MembershipEffect.PauseDetected(gapNanos));
+        prober.cancel(nowNanos);
+        raiseTimeoutMultiplier();
+        suspicions.restartAll(nowNanos + suspicionTimeoutNanos());
+        exchange.scheduleSync(nowNanos);
     }
 
     private void tick(long nowNanos) {
-        String failed = prober.tick(nowNanos, slowness);
+        String failed = prober.tick(nowNanos, timeoutMultiplier);
         if (failed != null) {
             suspect(failed, nowNanos);
         }
         for (String name : suspicions.expired(nowNanos)) {
             declareDead(name, nowNanos);
         }
-        for (String name : suspicions.toAsk(nowNanos, settings.probePeriodNanos())) {
-            prober.ask(table.member(name));
+        for (String name : suspicions.takeDueForPing(nowNanos, settings.probePeriodNanos())) {
+            prober.ping(table.member(name));
         }
-        gossip(nowNanos);
-        exchange.tick(nowNanos, listed);
-        for (Member member : table.forget(nowNanos, settings.forgetNanos())) {
-            out.add(new MembershipEffect.Forgotten(member));
+        gossipIfDue(nowNanos);
+        exchange.tick(nowNanos, vmList);
+        for (Member member : table.evictDead(nowNanos, settings.deadRetentionNanos())) {
+            out.add(new MembershipEffect.MemberEvicted(member));
         }
     }
 
@@ -166,110 +170,114 @@
         MembershipMessage message = received.message();
         Update sender = message.self();
         if (sender.id().name().equals(self.id().name())) {
-            hearOfSelf(sender, received.from(), nowNanos);
+            handleUpdateAboutSelf(sender, received.from(), nowNanos);
             return;
         }
-        Member known = table.member(sender.id().name());
-        if (known != null && known.id().incarnation() > sender.id().incarnation()) {
-            rejectReplaced(received.from(), known);
+        Member current = table.member(sender.id().name());
+        if (current != null && current.id().incarnation() > sender.id().incarnation()) {
+            rejectReplaced(received.from(), current);
             return;
         }
         apply(sender, true, nowNanos);
         for (Update update : message.updates()) {
-            hear(update, received.from(), nowNanos);
+            handleUpdate(update, received.from(), nowNanos);
         }
-        if (!silenced) {
-            answer(received, message.body(), nowNanos);
+        if (!stopped) {
+            respond(received, message.body(), nowNanos);
         }
     }
 
-    /** A process whose VM was replaced while it was paused is not listened to; it is told who has its name now. */
+    /** Rejects a message of a process whose VM was replaced while it was paused, and notifies it of its successor. */
     private void rejectReplaced(InetSocketAddress from, Member successor) {
-        out.sendBare(from, Path.DATAGRAM, new Gossip(), List.of(successor.update()));
+        out.sendWithoutGossip(from, DeliveryMode.DATAGRAM, new Gossip(), List.of(successor.update()));
     }
 
-    private void hear(Update update, InetSocketAddress from, long nowNanos) {
+    private void handleUpdate(Update update, InetSocketAddress from, long nowNanos) {
         if (update.id().name().equals(self.id().name())) {
-            hearOfSelf(update, from, nowNanos);
+            handleUpdateAboutSelf(update, from, nowNanos);
         } else {
-            rumours.heard(update, table.livingCount() + 1);
+            gossip.recordReceived(update, table.liveCount() + 1);
             apply(update, false, nowNanos);
         }
     }
 
-    private void hearOfSelf(Update claim, InetSocketAddress from, long nowNanos) {
-        switch (self.judge(claim, nowNanos)) {
-            case REFUTE -> refute(claim, from);
+    private void handleUpdateAboutSelf(Update update, InetSocketAddress from, long nowNanos) {
+        switch (self.evaluate(update, nowNanos)) {
+            case REFUTE -> refute(update, from);
             case SUPERSEDED -> {
-                silenced = true;
-                out.add(new MembershipEffect.Superseded(claim.id()));
+                stopped = true;
+                out.add(new MembershipEffect.Superseded(update.id()));
             }
             default -> {
-                if (claim.id().incarnation() < self.id().incarnation()) {
-                    out.sendBare(from, Path.DATAGRAM, new Gossip(), List.of(self.update()));
+                // The sender has an outdated view of this process.
+                if (update.id().incarnation() < self.id().incarnation()) {
+                    out.sendWithoutGossip(from, DeliveryMode.DATAGRAM, new Gossip(), List.of(self.update()));
                 }
             }
         }
     }
 
-    private void refute(Update claim, InetSocketAddress from) {
-        self.rise(claim.id().incarnation());
-        out.add(new MembershipEffect.Reincarnated(self.id()));
-        rumours.add(self.update());
-        slowDown();
-        out.sendBare(from, Path.DATAGRAM, new Gossip(), List.of());
-        spread(settings.gossipFanOut());
+    /** Refutes an update by announcing a higher incarnation to the sender and to random members. */
+    private void refute(Update update, InetSocketAddress from) {
+        self.raiseIncarnation(update.id().incarnation());
+        out.add(new MembershipEffect.IncarnationRaised(self.id()));
+        gossip.add(self.update());
+        raiseTimeoutMultiplier();
+        out.sendWithoutGossip(from, DeliveryMode.DATAGRAM, new Gossip(), List.of());
+        sendGossip(settings.gossipFanOut());
     }
 
     /**
-     * Whether a suspect that is said to be dead has yet to be asked. After a partition half of the fleet brings that
-     * word at once, faster than the suspects can answer and with more news than messages can carry.
+     * Returns whether an update reports the death of a suspect that has not yet had a probe period to answer a direct
+     * ping. After a partition, half of the fleet sends such reports at once, faster than the suspects can refute them
+     * and with more updates than messages can carry.
      */
-    private boolean unasked(Update claim, long nowNanos) {
-        Member known = table.member(claim.id().name());
-        boolean suspectSaidDead = claim.state() == MemberState.DEAD
-                && known != null
-                && known.state() == MemberState.SUSPECT
-                && claim.overrides(known.id().incarnation(), known.state());
-        return suspectSaidDead && !suspicions.askedFor(known.name(), settings.probePeriodNanos(), nowNanos);
+    private boolean isUnconfirmedDeath(Update update, long nowNanos) {
+        Member current = table.member(update.id().name());
+        boolean deathOfSuspect = update.state() == MemberState.DEAD
+                && current != null
+                && current.state() == MemberState.SUSPECT
+                && update.overrides(current.id().incarnation(), current.state());
+        return deathOfSuspect && !suspicions.wasPingedBefore(current.name(), settings.probePeriodNanos(), nowNanos);
     }
 
-    private void apply(Update claim, boolean firstHand, long nowNanos) {
-        if (!firstHand && unasked(claim, nowNanos)) {
+    private void apply(Update update, boolean fromSubject, long nowNanos) {
+        if (!fromSubject && isUnconfirmedDeath(update, nowNanos)) {
             return;
         }
-        MemberTable.Merge merge = table.merge(claim, firstHand, nowNanos);
-        if (merge == MemberTable.Merge.NOTHING) {
+        MemberTable.MergeResult result = table.merge(update, fromSubject, nowNanos);
+        if (result == MemberTable.MergeResult.UNCHANGED) {
             return;
         }
-        Member after = table.member(claim.id().name());
-        out.add(new MembershipEffect.MemberChanged(after, merge == MemberTable.Merge.PAYLOAD));
-        if (merge == MemberTable.Merge.PAYLOAD) {
+        Member member = table.member(update.id().name());
+        out.add(new MembershipEffect.MemberChanged(member, result == MemberTable.MergeResult.PAYLOAD_CHANGED));
+        if (result == MemberTable.MergeResult.PAYLOAD_CHANGED) {
             return;
         }
-        boolean doubtedWord = after.state() != claim.state();
-        if (!doubtedWord) {
-            rumours.add(claim);
+        boolean suspectedInstead = member.state() != update.state();
+        if (!suspectedInstead) {
+            gossip.add(update);
         }
-        if (after.state() == MemberState.SUSPECT) {
-            long timeout = suspicionTimeout();
-            suspicions.start(after.name(), nowNanos + timeout, nowNanos + (doubtedWord ? 0 : timeout / 2));
+        if (member.state() == MemberState.SUSPECT) {
+            long timeoutNanos = suspicionTimeoutNanos();
+            suspicions.start(
+                    member.name(), nowNanos + timeoutNanos, nowNanos + (suspectedInstead ? 0 : timeoutNanos / 2));
         } else {
-            suspicions.end(after.name());
+            suspicions.cancel(member.name());
         }
     }
 
-    private void answer(MembershipEvent.Received received, Body body, long nowNanos) {
+    private void respond(MembershipEvent.Received received, Body body, long nowNanos) {
         InetSocketAddress from = received.from();
         String sender = received.message().self().id().name();
-        Path back = received.path() == Path.DATAGRAM ? Path.DATAGRAM : Path.STREAM;
+        DeliveryMode replyMode = received.mode() == DeliveryMode.DATAGRAM ? DeliveryMode.DATAGRAM : DeliveryMode.STREAM;
         if (body instanceof Ping ping) {
-            boolean notMe = !ping.target().equals(self.id().name());
-            out.send(from, back, new Ack(ping.sequence(), notMe), sender);
+            boolean wrongTarget = !ping.target().equals(self.id().name());
+            out.send(from, replyMode, new Ack(ping.sequence(), wrongTarget), sender);
         } else if (body instanceof Ack ack) {
-            acknowledged(ack, nowNanos);
+            handleAck(ack, nowNanos);
         } else if (body instanceof PingRequest request) {
-            prober.relay(request, from, nowNanos);
+            prober.relayPing(request, from, nowNanos);
         } else if (body instanceof Sync sync) {
             if (sync.digest() != table.digest(self.update())) {
                 exchange.sendTable(from, true);
@@ -279,16 +287,16 @@
         }
     }
 
-    /** Another process at the address of a member is first-hand word that the member is gone from there. */
-    private void acknowledged(Ack ack, long nowNanos) {
-        String probed = prober.acknowledged(ack);
+    /** Handles an ack. If another process uses the address of the probed member, that member is suspected at once. */
+    private void handleAck(Ack ack, long nowNanos) {
+        String probed = prober.handleAck(ack);
         if (probed == null) {
             return;
         }
-        if (ack.notMe()) {
+        if (ack.wrongTarget()) {
             suspect(probed, nowNanos);
-        } else if (slowness > 1) {
-            slowness--;
+        } else if (timeoutMultiplier > 1) {
+            timeoutMultiplier--;
         }
     }
 
@@ -298,72 +306,72 @@
             return;
         }
         table.changeState(member, MemberState.SUSPECT, nowNanos);
-        long timeout = onList(member) ? suspicionTimeout() : settings.confirmedSuspicionNanos();
-        suspicions.start(name, nowNanos + timeout, nowNanos);
-        announce(name);
+        long timeoutNanos = isOnVmList(member) ? suspicionTimeoutNanos() : settings.unlistedSuspicionNanos();
+        suspicions.start(name, nowNanos + timeoutNanos, nowNanos);
+        publishChange(name);
     }
 
     private void declareDead(String name, long nowNanos) {
-        suspicions.end(name);
+        suspicions.cancel(name);
         Member member = table.member(name);
         if (member != null && member.state() == MemberState.SUSPECT) {
             table.changeState(member, MemberState.DEAD, nowNanos);
-            announce(name);
+            publishChange(name);
         }
     }
 
-    private void announce(String name) {
+    private void publishChange(String name) {
         Member member = table.member(name);
-        rumours.add(member.update());
+        gossip.add(member.update());
         out.add(new MembershipEffect.MemberChanged(member, false));
     }
 
     private void leave(MemberState state) {
-        self.state(state);
-        rumours.add(self.update());
-        out.add(new MembershipEffect.MemberChanged(own(), false));
-        spread(URGENT_FAN_OUT);
+        self.setState(state);
+        gossip.add(self.update());
+        out.add(new MembershipEffect.MemberChanged(selfMember(), false));
+        sendGossip(LEAVE_FAN_OUT);
     }
 
-    private void listed(List<ListedVm> vms, long nowNanos) {
-        listed = List.copyOf(vms);
-        for (Member member : table.where(each -> each.state() == MemberState.SUSPECT)) {
-            if (!onList(member)) {
-                suspicions.hasten(member.name(), nowNanos + settings.confirmedSuspicionNanos());
+    private void updateVmList(List<ListedVm> vms, long nowNanos) {
+        vmList = List.copyOf(vms);
+        for (Member member : table.matching(candidate -> candidate.state() == MemberState.SUSPECT)) {
+            if (!isOnVmList(member)) {
+                suspicions.shorten(member.name(), nowNanos + settings.unlistedSuspicionNanos());
             }
         }
     }
 
-    /** An empty list says nothing: the platform may not have answered yet. */
-    private boolean onList(Member member) {
-        if (listed.isEmpty()) {
+    /** Returns true also for an empty list, as the platform may not have answered yet. */
+    private boolean isOnVmList(Member member) {
+        if (vmList.isEmpty()) {
             return true;
         }
-        return listed.contains(new ListedVm(member.name(), member.address()));
+        return vmList.contains(new ListedVm(member.name(), member.address()));
     }
 
-    private void gossip(long nowNanos) {
-        if (rumours.isEmpty() || nowNanos - nextGossipNanos < 0) {
+    private void gossipIfDue(long nowNanos) {
+        if (gossip.isEmpty() || nowNanos - nextGossipNanos < 0) {
             return;
         }
         nextGossipNanos = nowNanos + settings.gossipPeriodNanos();
-        spread(settings.gossipFanOut());
+        sendGossip(settings.gossipFanOut());
     }
 
-    private void spread(int fanOut) {
-        List<Member> receivers = table.where(member -> member.state() != MemberState.DEAD);
+    private void sendGossip(int fanOut) {
+        List<Member> receivers = table.matching(member -> member.state() != MemberState.DEAD);
         Shuffles.shuffle(receivers, random);
         for (Member receiver : receivers.subList(0, Math.min(fanOut, receivers.size()))) {
-            out.send(receiver.address(), Path.DATAGRAM, new Gossip(), receiver.name());
+            out.send(receiver.address(), DeliveryMode.DATAGRAM, new Gossip(), receiver.name());
         }
     }
 
-    private long suspicionTimeout() {
-        int rounds = Rumours.rounds(table.livingCount() + 1);
-        return slowness * (settings.suspicionNanos() + rounds * settings.gossipPeriodNanos());
+    private long suspicionTimeoutNanos() {
+        int rounds = GossipQueue.rounds(table.liveCount() + 1);
+        return timeoutMultiplier * (settings.suspicionNanos() + rounds * settings.gossipPeriodNanos());
     }
 
-    private void slowDown() {
-        slowness = Math.min(MAX_SLOWNESS, slowness + 1);
+    private void raiseTimeoutMultiplier() {
+        timeoutMultiplier = Math.min(MAX_TIMEOUT_MULTIPLIER, timeoutMultiplier + 1);
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipBuilder.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipBuilder.java
@@ -6,7 +6,7 @@
 
 import org.dotterelcourse.coordination.MemberId;
 
-/** Describes a {@link Membership}. Identity, address, payload and random source must be given. */
+/** Builds a {@link Membership}. Identity, address, payload and source of randomness are required. */
 public final class MembershipBuilder {
 
     private static final int MAX_SELF_BYTES = 350;
@@ -20,10 +20,10 @@
     MembershipBuilder() {}
 
     /**
-     * Sets the identity.
+     * Sets the identity of this process.
      *
-     * @param identity the VM's name, and an incarnation above that of any earlier process of the same name, such as the
-     *     wall-clock time of the start in milliseconds; one that is too low is raised when others tell of a higher one
+     * @param identity the VM's name, and an incarnation above that of any earlier process of the same name, for example
+     *     the wall-clock time of the start in milliseconds; it is raised if other members report a higher one
      * @return this builder
      */
     public MembershipBuilder self(MemberId identity) {
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Sets the peer port.
+     * Sets the address for peers.
      *
-     * @param peerAddress the IP number and port at which others reach this process
+     * @param peerAddress the IP address and port at which other members reach this process
      * @return this builder
      */
     public MembershipBuilder address(InetSocketAddress peerAddress) {
@@ -43,20 +43,20 @@
     }
 
     /**
-     * Sets what the member tells about itself at first.
+     * Sets the initial payload of this process.
      *
-     * @param first the payload
+     * @param initialPayload the payload that is published until it is changed by an event
      * @return this builder
      */
-    public MembershipBuilder payload(Payload first) {
-        payload = first;
+    public MembershipBuilder payload(Payload initialPayload) {
+        payload = initialPayload;
         return this;
     }
 
     /**
      * Sets the source of randomness.
      *
-     * @param generator used only while an event is handled
+     * @param generator the generator; used only while the membership is built or handles an event
      * @return this builder
      */
     public MembershipBuilder random(RandomGenerator generator) {
@@ -65,23 +65,23 @@
     }
 
     /**
-     * Sets times and bounds.
+     * Sets timeouts and limits; the default is {@link MembershipSettings#STANDARD}.
      *
-     * @param times the settings
+     * @param membershipSettings the settings
      * @return this builder
      */
-    public MembershipBuilder settings(MembershipSettings times) {
-        settings = times;
+    public MembershipBuilder settings(MembershipSettings membershipSettings) {
+        settings = membershipSettings;
         return this;
     }
 
     /**
-     * Builds the machine.
+     * Builds the membership state machine.
      *
-     * @param nowNanos the present time on the monotonic clock
-     * @return the machine
-     * @throws NullPointerException when a needed part is missing
-     * @throws IllegalArgumentException when name and payload are too long to go with each message in a datagram
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the state machine
+     * @throws NullPointerException if a required part is missing
+     * @throws IllegalArgumentException if name and payload are too long to be sent with each message in a datagram
      */
     public Membership build(long nowNanos) {
         Objects.requireNonNull(self, "self");
@@ -90,7 +90,8 @@
         Objects.requireNonNull(random, "random");
         int size = UpdateSize.of(new Update(self, address, MemberState.ALIVE, payload, 0));
         if (size > MAX_SELF_BYTES) {
-            throw new IllegalArgumentException("name and payload take " + size + " bytes, limit " + MAX_SELF_BYTES);
+            throw new IllegalArgumentException(
+                    "name and payload take " + size + " bytes, which exceeds the limit of " + MAX_SELF_BYTES);
         }
         return new Membership(this, nowNanos);
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipCodec.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipCodec.java
@@ -28,7 +28,7 @@
 import org.dotterelcourse.coordination.membership.generated.TableProto;
 import org.dotterelcourse.coordination.membership.generated.UpdateProto;
 
-/** Membership's messages in protobuf's encoding. */
+/** Encodes and decodes membership messages as protobuf. */
 public final class MembershipCodec {
 
     private static final int MAX_PORT = 65_535;
@@ -39,7 +39,7 @@
      * Encodes a message.
      *
      * @param message the message
-     * @return its bytes
+     * @return the encoded message
      */
     public static byte[] encode(MembershipMessage message) {
         MembershipProto.Builder proto = MembershipProto.newBuilder().setSelf(encode(message.self()));
@@ -54,7 +54,7 @@
      * Decodes a message.
      *
      * @param bytes the encoded message
-     * @return the message, or empty when the bytes are no valid one
+     * @return the message, or empty if the bytes are not a valid message
      */
     public static Optional<MembershipMessage> decode(byte[] bytes) {
         try {
@@ -74,7 +74,7 @@
         if (body instanceof Ping ping) {
             proto.setPing(PingProto.newBuilder().setSequence(ping.sequence()).setTarget(ping.target()));
         } else if (body instanceof Ack ack) {
-            proto.setAck(AckProto.newBuilder().setSequence(ack.sequence()).setNotMe(ack.notMe()));
+            proto.setAck(AckProto.newBuilder().setSequence(ack.sequence()).setNotMe(ack.wrongTarget()));
         } else if (body instanceof PingRequest request) {
             proto.setPingRequest(PingRequestProto.newBuilder()
                     .setSequence(request.sequence())
@@ -126,7 +126,7 @@
 
     private static Update decode(UpdateProto proto) throws UnknownHostException {
         if (proto.getName().isEmpty() || proto.getState() == StateProto.UNRECOGNIZED) {
-            throw new IllegalArgumentException("update without name or with unknown state");
+            throw new IllegalArgumentException("update has no name or an unknown state");
         }
         PayloadProto payload = proto.getPayload();
         return new Update(
@@ -149,7 +149,7 @@
 
     private static InetSocketAddress decode(ByteString address, int port) throws UnknownHostException {
         if (port <= 0 || port > MAX_PORT) {
-            throw new IllegalArgumentException("port " + port);
+            throw new IllegalArgumentException("invalid port " + port);
         }
         return new InetSocketAddress(InetAddress.getByAddress(address.toByteArray()), port);
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
@@ -8,12 +8,12 @@
 import org.dotterelcourse.coordination.transport.PeerTransport;
 
 /**
- * Runs a {@link Membership} on a {@link PeerTransport}: ticks it, hands it messages and carries its effects out.
- * Everything happens on the transport's thread.
+ * Runs a {@link Membership} on a {@link PeerTransport}: passes ticks and messages to it and executes its effects, all on
+ * the transport's thread.
  */
 public final class MembershipDriver {
 
-    /** The channel of membership's messages. */
+    /** The transport channel of membership messages. */
     public static final String CHANNEL = "membership";
 
     private final PeerTransport transport;
@@ -21,11 +21,11 @@
     private final Consumer<MembershipEffect> listener;
 
     /**
-     * Binds a machine to a transport that has been started.
+     * Creates a driver for a transport that has been started.
      *
      * @param transport the transport
-     * @param membership the machine, which nothing else may drive
-     * @param listener hears of all effects other than messages, on the transport's thread
+     * @param membership the state machine, which must not be used by another driver
+     * @param listener called on the transport's thread for each effect except {@link MembershipEffect.Send}
      */
     public MembershipDriver(PeerTransport transport, Membership membership, Consumer<MembershipEffect> listener) {
         this.transport = Objects.requireNonNull(transport);
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Starts to tick and to receive.
+     * Starts the ticks and the reception of messages.
      *
-     * @param tickNanos period of the ticks in nanoseconds, as in the machine's settings
+     * @param tickNanos period of the ticks in nanoseconds, as in the settings of the membership
      */
     public void start(long tickNanos) {
         transport.receive(CHANNEL, this::receive);
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Hands an event over from any thread.
+     * Submits an event from any thread.
      *
      * @param event the event
      */
@@ -53,41 +53,41 @@
     }
 
     /**
-     * Handles an event at once. Only on the transport's thread.
+     * Handles an event immediately. Must be called on the transport's thread.
      *
      * @param event the event
      */
     public void handle(MembershipEvent event) {
         List<MembershipEffect> effects = membership.on(event, System.nanoTime());
         for (MembershipEffect effect : effects) {
-            carryOut(effect);
+            execute(effect);
         }
     }
 
     private void receive(PeerMessage message) {
-        Path path = message.datagram() ? Path.DATAGRAM : Path.STREAM;
+        DeliveryMode mode = message.datagram() ? DeliveryMode.DATAGRAM : DeliveryMode.STREAM;
         MembershipCodec.decode(message.body())
-                .ifPresent(decoded -> handle(new MembershipEvent.Received(message.from(), path, decoded)));
+                .ifPresent(decoded -> handle(new MembershipEvent.Received(message.from(), mode, decoded)));
     }
 
-    private void carryOut(MembershipEffect effect) {
+    private void execute(MembershipEffect effect) {
         if (effect instanceof MembershipEffect.Send send) {
             send(send);
             return;
         }
-        if (effect instanceof MembershipEffect.Reincarnated reincarnated) {
-            transport.identify(reincarnated.id());
+        if (effect instanceof MembershipEffect.IncarnationRaised raised) {
+            transport.identify(raised.id());
         }
         listener.accept(effect);
     }
 
     private void send(MembershipEffect.Send send) {
         byte[] body = MembershipCodec.encode(send.message());
-        switch (send.path()) {
+        switch (send.mode()) {
             case DATAGRAM -> transport.sendDatagram(send.to(), CHANNEL, body);
             case STREAM -> transport.send(send.to(), CHANNEL, body);
             case FRESH_STREAM -> transport.sendFresh(send.to(), CHANNEL, body);
-            default -> throw new IllegalStateException(send.path().name());
+            default -> throw new IllegalStateException(send.mode().name());
         }
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEffect.java
@@ -4,53 +4,55 @@
 
 import org.dotterelcourse.coordination.MemberId;
 
-/** What a {@link Membership} wants done, or tells. */
+/** An action requested by a {@link Membership}, or a change that it reports. */
 public sealed interface MembershipEffect {
 
     /**
-     * Send a message.
+     * A message is to be sent.
      *
-     * @param to the receiver's peer port
-     * @param path how to send it
+     * @param to the receiver's IP address and peer port
+     * @param mode how to send it
      * @param message the message
      */
-    record Send(InetSocketAddress to, Path path, MembershipMessage message) implements MembershipEffect {}
+    record Send(InetSocketAddress to, DeliveryMode mode, MembershipMessage message) implements MembershipEffect {}
 
     /**
-     * A member joined or changed its state, incarnation, address or payload; also this process when it leaves.
+     * A member joined, or its state, incarnation, address or payload changed. Also reported for this process when it
+     * leaves.
      *
-     * @param member the member as seen from now on
-     * @param payloadOnly whether nothing but the payload changed, which happens often
+     * @param member the member after the change
+     * @param payloadOnly whether only the payload changed, which happens often
      */
     record MemberChanged(Member member, boolean payloadOnly) implements MembershipEffect {}
 
     /**
-     * A member that has long been dead is no longer remembered.
+     * A dead member was removed after its retention period.
      *
-     * @param member as it was last seen
+     * @param member the member in its last state
      */
-    record Forgotten(Member member) implements MembershipEffect {}
+    record MemberEvicted(Member member) implements MembershipEffect {}
 
     /**
-     * This process has a new incarnation: it was suspected falsely, or an earlier process of the same VM used a higher
-     * one. Envelopes must carry it.
+     * This process raised its incarnation, because it was suspected falsely or because an earlier process of the same VM
+     * used a higher one. The transport must put the new incarnation into the envelopes of further messages.
      *
-     * @param id the name with the new incarnation
+     * @param id the name of this process with its new incarnation
      */
-    record Reincarnated(MemberId id) implements MembershipEffect {}
+    record IncarnationRaised(MemberId id) implements MembershipEffect {}
 
     /**
-     * Another process has taken this one's name with a higher incarnation: this VM has been replaced while this process
-     * was paused or cut off. The machine is silent from now on; the process should end.
+     * Another process uses the name of this one with a higher incarnation: this VM was replaced while the process was
+     * paused or partitioned. The membership sends nothing from now on, and the process should exit.
      *
-     * @param successor the one that has the name now
+     * @param successor the process that uses the name now
      */
     record Superseded(MemberId successor) implements MembershipEffect {}
 
     /**
-     * This process has been paused; what it believed before may be wrong. Judgement of others starts afresh.
+     * This process was paused, so its view of the other members may be outdated. Running probes are cancelled and
+     * suspicion timeouts restart.
      *
-     * @param gapNanos time without any event
+     * @param gapNanos time without any event, in nanoseconds
      */
     record PauseDetected(long gapNanos) implements MembershipEffect {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEvent.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipEvent.java
@@ -3,31 +3,31 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** What a {@link Membership} reacts to. */
+/** An input of the {@link Membership} state machine. */
 public sealed interface MembershipEvent {
 
-    /** Time has passed. Must come at least every {@link MembershipSettings#tickNanos()}. */
+    /** Time has passed. Must occur at least every {@link MembershipSettings#tickNanos()}. */
     record Tick() implements MembershipEvent {}
 
     /**
      * A message has arrived.
      *
-     * @param from the sender's peer port
-     * @param path how it came
+     * @param from the sender's IP address and peer port
+     * @param mode how the message was sent
      * @param message the decoded message
      */
-    record Received(InetSocketAddress from, Path path, MembershipMessage message) implements MembershipEvent {}
+    record Received(InetSocketAddress from, DeliveryMode mode, MembershipMessage message) implements MembershipEvent {}
 
     /**
-     * The platform's list of VMs was read. It lags: it gives seeds, and a suspect that it no longer has is given up
-     * sooner; it never makes a member alive or dead by itself.
+     * The platform's list of VMs was read. As the list lags behind the fleet, it only provides seeds and shortens the
+     * suspicion timeout of members that are missing from it; it never changes a member's state by itself.
      *
-     * @param vms the daemons' VMs on the list, without this process's own
+     * @param vms the VMs that run daemons, without the VM of this process
      */
     record VmListReceived(List<ListedVm> vms) implements MembershipEvent {}
 
     /**
-     * What this process tells about itself has changed.
+     * The payload of this process has changed.
      *
      * @param payload the new payload
      */
@@ -36,6 +36,6 @@
     /** This process starts to shut down. */
     record Leave() implements MembershipEvent {}
 
-    /** This process ends now; the machine sends a last message and is silent from then on. */
+    /** This process exits now. The membership announces it and sends nothing afterwards. */
     record Shutdown() implements MembershipEvent {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipMessage.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipMessage.java
@@ -6,54 +6,54 @@
 /**
  * A message between two members.
  *
- * @param body what the message asks or answers
- * @param self the sender about itself
- * @param updates statements that are passed on
+ * @param body the request or response
+ * @param self the sender's update about itself
+ * @param updates updates about other members, piggybacked on this message
  */
 public record MembershipMessage(Body body, Update self, List<Update> updates) {
 
-    /** What a message asks or answers. */
+    /** The request or response in a message. */
     public sealed interface Body permits Ping, Ack, PingRequest, Sync, Table, Gossip {}
 
     /**
-     * Asks for an answer.
+     * Requests an {@link Ack} from the receiver.
      *
-     * @param sequence comes back with the answer
-     * @param target the name of the member that is meant
+     * @param sequence identifies the ping; returned with the ack
+     * @param target name of the member that the ping is meant for
      */
     public record Ping(long sequence, String target) implements Body {}
 
     /**
-     * Answers a ping.
+     * Answers a {@link Ping}.
      *
-     * @param sequence of the ping
-     * @param notMe whether another member than the one that was meant has the address now
+     * @param sequence the sequence number of the ping
+     * @param wrongTarget whether the process at this address is a different member than the ping's target
      */
-    public record Ack(long sequence, boolean notMe) implements Body {}
+    public record Ack(long sequence, boolean wrongTarget) implements Body {}
 
     /**
-     * Asks the receiver to ping a third member and to pass the answer on.
+     * Requests the receiver to ping a third member and to forward its answer (SWIM's indirect probe).
      *
-     * @param sequence comes back with the answer
-     * @param target the name of the third member
-     * @param address its peer port
+     * @param sequence identifies the request; returned with the forwarded ack
+     * @param target name of the third member
+     * @param address IP address and peer port of the third member
      */
     public record PingRequest(long sequence, String target, InetSocketAddress address) implements Body {}
 
     /**
-     * Compares tables; a receiver with another digest answers with its table.
+     * Compares membership tables. A receiver with a different digest responds with its {@link Table}.
      *
-     * @param digest over names and incarnations of those not dead
+     * @param digest digest of the names and incarnations of all members that are not dead
      */
     public record Sync(long digest) implements Body {}
 
     /**
-     * Carries the sender's whole table in the updates.
+     * Carries the sender's whole membership table in the message's updates.
      *
      * @param replyWanted whether the receiver is to send its own table back
      */
     public record Table(boolean replyWanted) implements Body {}
 
-    /** Only carries statements. */
+    /** Carries only the updates. */
     public record Gossip() implements Body {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipSettings.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipSettings.java
@@ -1,37 +1,37 @@
 package org.dotterelcourse.coordination.membership;
 
 /**
- * Times and bounds of the probing. What a member sends does not grow with the fleet: one probe a period, a bounded
- * number of statements a message, and statements that are passed on only a logarithmic number of times. Only the time
- * that news takes grows, with the logarithm of the fleet's size.
+ * Timeouts and limits of the failure detector. The traffic of a member does not grow with the fleet: it sends one probe
+ * a period and a bounded number of updates a message, and transmits each update only a logarithmic number of times. Only
+ * the time to disseminate an update grows, with the logarithm of the fleet's size. All times are in nanoseconds.
  *
  * @param tickNanos longest time between two events
- * @param pauseNanos a gap between two events above this is a pause of this process
- * @param probePeriodNanos time between two probes, and until a probe without answer makes a suspect
- * @param pingTimeoutNanos time until others are asked to probe, and a new connection is tried
- * @param suspicionNanos time to refute in a small fleet; news that has to cross a larger one adds to it
- * @param confirmedSuspicionNanos time to refute for one that the platform's list no longer has
- * @param gossipPeriodNanos time between two rounds of passing news on, while there is any
- * @param gossipFanOut receivers of each such round
- * @param helpers how many members are asked to probe indirectly
- * @param syncPeriodNanos time between two comparisons of tables with a random member
- * @param reconnectPeriodNanos time between two attempts to reach a member that is dead or unknown here
- * @param forgetNanos how long a dead member is remembered
- * @param maxMembers bound on the table, dead ones included
+ * @param pauseThresholdNanos a longer gap between two events is treated as a pause of this process
+ * @param probePeriodNanos time between two probes, and time after which an unanswered probe raises a suspicion
+ * @param pingTimeoutNanos time after which indirect probes are requested and a new connection is tried
+ * @param suspicionNanos time for a suspect to refute in a small fleet; the dissemination time of a larger one is added
+ * @param unlistedSuspicionNanos time to refute for a suspect that is missing from the platform's list of VMs
+ * @param gossipPeriodNanos time between two rounds of gossip while there are updates to disseminate
+ * @param gossipFanOut number of receivers in each round of gossip
+ * @param indirectProbers number of members that are requested to probe indirectly
+ * @param syncPeriodNanos time between two comparisons of membership tables with a random member
+ * @param reconnectPeriodNanos time between two attempts to reach a member that is dead or unknown in the local view
+ * @param deadRetentionNanos time until a dead member is evicted
+ * @param maxMembers maximum size of the membership table, dead members included
  */
 public record MembershipSettings(
         long tickNanos,
-        long pauseNanos,
+        long pauseThresholdNanos,
         long probePeriodNanos,
         long pingTimeoutNanos,
         long suspicionNanos,
-        long confirmedSuspicionNanos,
+        long unlistedSuspicionNanos,
         long gossipPeriodNanos,
         int gossipFanOut,
-        int helpers,
+        int indirectProbers,
         long syncPeriodNanos,
         long reconnectPeriodNanos,
-        long forgetNanos,
+        long deadRetentionNanos,
         int maxMembers) {
 
     private static final long MILLISECOND = 1_000_000L;
@@ -39,8 +39,9 @@
     private static final long MINUTE = 60 * SECOND;
 
     /**
-     * Settings for fleets of a few to a few hundred members. A ping is answered within a few milliseconds between data
-     * centres, so 300 ms mean a loss or a stop; two seconds leave a short pause of a process time to end and be refuted.
+     * Settings for fleets of a few to a few hundred members. Pings between data centres are answered within a few
+     * milliseconds, so no answer within 300 ms means that a message was lost or the process has stopped. A suspicion
+     * timeout of two seconds lets a briefly paused process resume and refute.
      */
     public static final MembershipSettings STANDARD = new MembershipSettings(
             100 * MILLISECOND,
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Outbox.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Outbox.java
@@ -7,23 +7,26 @@
 
 import org.dotterelcourse.coordination.membership.MembershipMessage.Body;
 
-/** Collects effects, and writes messages: each carries the sender, the news and a few other members' payloads. */
+/**
+ * Collects the effects of an event and builds messages. Each message carries the sender's own update, pending gossip and
+ * the payloads of a few other members.
+ */
 final class Outbox {
 
-    private static final int MAX_RUMOURS = 6;
-    private static final int MAX_REFRESHED = 2;
+    private static final int MAX_GOSSIP_UPDATES = 6;
+    private static final int MAX_REFRESH_UPDATES = 2;
     private static final int MAX_UPDATE_BYTES = 900;
 
-    private final SelfRecord self;
+    private final LocalMember self;
     private final MemberTable table;
-    private final Rumours rumours;
+    private final GossipQueue gossip;
     private final RandomGenerator random;
     private List<MembershipEffect> effects = new ArrayList<>();
 
-    Outbox(SelfRecord self, MemberTable table, Rumours rumours, RandomGenerator random) {
+    Outbox(LocalMember self, MemberTable table, GossipQueue gossip, RandomGenerator random) {
         this.self = self;
         this.table = table;
-        this.rumours = rumours;
+        this.gossip = gossip;
         this.random = random;
     }
 
@@ -38,35 +41,41 @@
     }
 
     /**
-     * Sends with news. What is held against the receiver goes first: it can refute only what it hears of.
+     * Sends a message with gossip. If the receiver is suspect or dead in the local view, that update goes first, because
+     * the receiver can refute only what it receives.
+     *
+     * @param receiver name of the receiving member, or null if unknown
      */
-    void send(InetSocketAddress to, Path path, Body body, String receiver) {
+    void send(InetSocketAddress to, DeliveryMode mode, Body body, String receiver) {
         List<Update> updates = new ArrayList<>();
-        Member doubted = receiver == null ? null : table.member(receiver);
-        int budget = MAX_UPDATE_BYTES;
-        if (doubted != null && doubted.state().compareTo(MemberState.SUSPECT) >= 0) {
-            updates.add(doubted.update());
-            budget -= UpdateSize.of(doubted.update());
+        Member receiverEntry = receiver == null ? null : table.member(receiver);
+        int remainingBytes = MAX_UPDATE_BYTES;
+        if (receiverEntry != null && receiverEntry.state().compareTo(MemberState.SUSPECT) >= 0) {
+            updates.add(receiverEntry.update());
+            remainingBytes -= UpdateSize.of(receiverEntry.update());
         }
-        updates.addAll(rumours.take(MAX_RUMOURS, budget, table.livingCount() + 1));
-        refresh(updates);
-        effects.add(new MembershipEffect.Send(to, path, new MembershipMessage(body, self.update(), updates)));
+        updates.addAll(gossip.take(MAX_GOSSIP_UPDATES, remainingBytes, table.liveCount() + 1));
+        addRefreshUpdates(updates);
+        effects.add(new MembershipEffect.Send(to, mode, new MembershipMessage(body, self.update(), updates)));
     }
 
-    /** Sends without news, for messages that others than members may get. */
-    void sendBare(InetSocketAddress to, Path path, Body body, List<Update> updates) {
-        effects.add(new MembershipEffect.Send(to, path, new MembershipMessage(body, self.update(), updates)));
+    /** Sends a message with the given updates only, for receivers that may not be members. */
+    void sendWithoutGossip(InetSocketAddress to, DeliveryMode mode, Body body, List<Update> updates) {
+        effects.add(new MembershipEffect.Send(to, mode, new MembershipMessage(body, self.update(), updates)));
     }
 
-    /** Payloads of members that one never probes oneself spread slowly in the room that is left. */
-    private void refresh(List<Update> updates) {
-        List<Member> all = table.where(member -> member.state() != MemberState.DEAD);
+    /**
+     * Fills the remaining space with random members, so that payloads also reach members that do not exchange messages
+     * directly.
+     */
+    private void addRefreshUpdates(List<Update> updates) {
+        List<Member> candidates = table.matching(member -> member.state() != MemberState.DEAD);
         int bytes = 0;
         for (Update update : updates) {
             bytes += UpdateSize.of(update);
         }
-        for (int i = 0; i < MAX_REFRESHED && !all.isEmpty(); i++) {
-            Update update = all.get(random.nextInt(all.size())).update();
+        for (int i = 0; i < MAX_REFRESH_UPDATES && !candidates.isEmpty(); i++) {
+            Update update = candidates.get(random.nextInt(candidates.size())).update();
             bytes += UpdateSize.of(update);
             if (bytes > MAX_UPDATE_BYTES) {
                 return;
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Payload.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Payload.java
@@ -1,14 +1,14 @@
 package org.dotterelcourse.coordination.membership;
 
 /**
- * What a member tells about itself with each of its messages.
+ * Metadata that a member publishes about itself with each of its messages.
  *
- * @param clientAddress where callers connect, IP number and port
+ * @param clientAddress IP address and port at which the member accepts clients, empty while there is none
  * @param dataCentre the member's data centre
  * @param region the member's region
- * @param configurationNumber the number that it has in force, 0 for none
+ * @param configurationNumber number of the configuration that the member has in force, 0 for none
  * @param configurationDigest digest of that configuration
- * @param loadPermille load in thousandths of its capacity, a hint
+ * @param loadPermille the member's approximate load in thousandths of its capacity
  */
 public record Payload(
         String clientAddress,
@@ -19,10 +19,10 @@
         int loadPermille) {
 
     /**
-     * This payload with another configuration in force.
+     * Returns this payload with another configuration in force.
      *
-     * @param number the number in force
-     * @param digest its digest
+     * @param number number of the configuration in force
+     * @param digest digest of that configuration
      * @return the changed payload
      */
     public Payload withConfiguration(long number, long digest) {
@@ -30,7 +30,7 @@
     }
 
     /**
-     * This payload with another load.
+     * Returns this payload with another load.
      *
      * @param permille load in thousandths of the capacity
      * @return the changed payload
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Prober.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Prober.java
@@ -17,28 +17,28 @@
 import org.dotterelcourse.coordination.membership.MembershipMessage.PingRequest;
 
 /**
- * Probes one member a period: each once, in random order, before any is probed again, so that the time to detection is
- * bounded. A ping that is lost, or a cut between just two members, must not make a suspect: members in other data
- * centres are asked to probe too, since their way is another one, and the target is asked once more by a connection
- * that is opened for this.
+ * SWIM's failure detector. It probes one member a period, each member once in random order before any is probed again,
+ * which bounds the time to detection. A lost ping or a blocked link between two members must not raise a suspicion.
+ * Before a probe fails, members in other data centres, which have a different network path, are therefore requested to
+ * probe the target too, and the target is pinged again on a new connection.
  */
 final class Prober {
 
-    private static final int RELAY_BOUND = 256;
+    private static final int MAX_RELAYED_PINGS = 256;
 
-    private final SelfRecord self;
+    private final LocalMember self;
     private final MemberTable table;
     private final MembershipSettings settings;
     private final RandomGenerator random;
     private final Outbox out;
-    private final Deque<String> order = new ArrayDeque<>();
-    private final Map<Long, Relay> relays = new LinkedHashMap<>();
-    private Probe current;
+    private final Deque<String> probeOrder = new ArrayDeque<>();
+    private final Map<Long, RelayedPing> relayedPings = new LinkedHashMap<>();
+    private Probe currentProbe;
     private long sequence;
-    private long nextNanos;
+    private long nextProbeNanos;
 
     Prober(
-            SelfRecord self,
+            LocalMember self,
             MemberTable table,
             MembershipSettings settings,
             RandomGenerator random,
@@ -50,138 +50,148 @@
         this.random = random;
         this.out = out;
         this.sequence = random.nextLong(1, 1L << 40);
-        this.nextNanos = nowNanos + random.nextLong(settings.probePeriodNanos());
+        this.nextProbeNanos = nowNanos + random.nextLong(settings.probePeriodNanos());
     }
 
-    /** Moves the probe on; returns the name of a member whose probe has failed, or null. */
-    String tick(long nowNanos, int slowness) {
+    /**
+     * Advances the current probe and starts the next one when due.
+     *
+     * @param timeoutMultiplier factor for the timeouts of the probe
+     * @return the name of the member whose probe has failed, or null
+     */
+    String tick(long nowNanos, int timeoutMultiplier) {
         String failed = null;
-        if (current != null) {
-            failed = advance(nowNanos, slowness);
+        if (currentProbe != null) {
+            failed = advance(nowNanos, timeoutMultiplier);
         }
-        if (current == null && nowNanos - nextNanos >= 0) {
+        if (currentProbe == null && nowNanos - nextProbeNanos >= 0) {
             start(nowNanos);
         }
-        dropOldRelays(nowNanos);
+        evictOldRelayedPings(nowNanos);
         return failed;
     }
 
-    /** Forgets the running probe: whether it was answered while this process was paused can't be told. */
-    void abandon(long nowNanos) {
-        current = null;
-        relays.clear();
-        nextNanos = nowNanos + settings.probePeriodNanos();
+    /** Cancels the current probe after a pause of this process, as an answer may have been lost during the pause. */
+    void cancel(long nowNanos) {
+        currentProbe = null;
+        relayedPings.clear();
+        nextProbeNanos = nowNanos + settings.probePeriodNanos();
     }
 
-    /** Takes an answer; returns the name of the member that was probed by this process, or null. */
-    String acknowledged(Ack ack) {
-        Relay relay = relays.remove(ack.sequence());
-        if (relay != null) {
-            out.send(relay.requester, Path.DATAGRAM, new Ack(relay.sequence, ack.notMe()), null);
+    /**
+     * Handles an ack, forwarding it if it answers a relayed ping.
+     *
+     * @return the name of the target if the ack answers the current probe of this process, otherwise null
+     */
+    String handleAck(Ack ack) {
+        RelayedPing relayed = relayedPings.remove(ack.sequence());
+        if (relayed != null) {
+            out.send(relayed.requester, DeliveryMode.DATAGRAM, new Ack(relayed.sequence, ack.wrongTarget()), null);
             return null;
         }
-        if (current == null || current.sequence != ack.sequence()) {
+        if (currentProbe == null || currentProbe.sequence != ack.sequence()) {
             return null;
         }
-        String name = current.target;
-        current = null;
+        String name = currentProbe.target;
+        currentProbe = null;
         return name;
     }
 
-    /** Pings on behalf of another member. */
-    void relay(PingRequest request, InetSocketAddress requester, long nowNanos) {
-        if (relays.size() >= RELAY_BOUND) {
+    /** Pings a member on behalf of another one. */
+    void relayPing(PingRequest request, InetSocketAddress requester, long nowNanos) {
+        if (relayedPings.size() >= MAX_RELAYED_PINGS) {
             return;
         }
         sequence++;
-        relays.put(sequence, new Relay(requester, request.sequence(), nowNanos));
-        out.send(request.address(), Path.DATAGRAM, new Ping(sequence, request.target()), request.target());
+        relayedPings.put(sequence, new RelayedPing(requester, request.sequence(), nowNanos));
+        out.send(request.address(), DeliveryMode.DATAGRAM, new Ping(sequence, request.target()), request.target());
     }
 
-    /** Asks a member outside of the probes' order; nobody waits for the answer. */
-    void ask(Member member) {
+    /** Pings a member outside of the probe order, without tracking the ack. */
+    void ping(Member member) {
         sequence++;
-        out.send(member.address(), Path.DATAGRAM, new Ping(sequence, member.name()), member.name());
+        out.send(member.address(), DeliveryMode.DATAGRAM, new Ping(sequence, member.name()), member.name());
     }
 
     private void start(long nowNanos) {
-        Member target = next();
-        nextNanos = nowNanos + settings.probePeriodNanos();
+        Member target = nextTarget();
+        nextProbeNanos = nowNanos + settings.probePeriodNanos();
         if (target == null) {
             return;
         }
         sequence++;
-        current = new Probe(target.name(), sequence, nowNanos);
-        out.send(target.address(), Path.DATAGRAM, new Ping(sequence, target.name()), target.name());
+        currentProbe = new Probe(target.name(), sequence, nowNanos);
+        out.send(target.address(), DeliveryMode.DATAGRAM, new Ping(sequence, target.name()), target.name());
     }
 
-    private String advance(long nowNanos, int slowness) {
-        Member target = table.member(current.target);
+    private String advance(long nowNanos, int timeoutMultiplier) {
+        Member target = table.member(currentProbe.target);
         if (target == null || target.state() == MemberState.DEAD) {
-            current = null;
+            currentProbe = null;
             return null;
         }
-        long age = nowNanos - current.startNanos;
-        if (!current.indirect && age >= settings.pingTimeoutNanos() * slowness) {
-            current.indirect = true;
-            askOthers(target);
+        long ageNanos = nowNanos - currentProbe.startNanos;
+        if (!currentProbe.indirect && ageNanos >= settings.pingTimeoutNanos() * timeoutMultiplier) {
+            currentProbe.indirect = true;
+            probeIndirectly(target);
         }
-        if (age < settings.probePeriodNanos() * slowness) {
+        if (ageNanos < settings.probePeriodNanos() * timeoutMultiplier) {
             return null;
         }
-        current = null;
+        currentProbe = null;
         return target.name();
     }
 
-    private void askOthers(Member target) {
-        Ping ping = new Ping(current.sequence, target.name());
-        out.send(target.address(), Path.FRESH_STREAM, ping, target.name());
-        PingRequest request = new PingRequest(current.sequence, target.name(), target.address());
-        for (Member helper : helpers(target)) {
-            out.send(helper.address(), Path.DATAGRAM, request, helper.name());
+    private void probeIndirectly(Member target) {
+        Ping ping = new Ping(currentProbe.sequence, target.name());
+        out.send(target.address(), DeliveryMode.FRESH_STREAM, ping, target.name());
+        PingRequest request = new PingRequest(currentProbe.sequence, target.name(), target.address());
+        for (Member prober : indirectProbers(target)) {
+            out.send(prober.address(), DeliveryMode.DATAGRAM, request, prober.name());
         }
     }
 
-    private List<Member> helpers(Member target) {
-        List<Member> candidates = table.where(
+    /** Selects random live members, preferring those in other data centres. */
+    private List<Member> indirectProbers(Member target) {
+        List<Member> candidates = table.matching(
                 member -> member.state() == MemberState.ALIVE && !member.name().equals(target.name()));
         Shuffles.shuffle(candidates, random);
-        String own = self.payload().dataCentre();
+        String ownDataCentre = self.payload().dataCentre();
         candidates.sort(
-                Comparator.comparing(member -> member.payload().dataCentre().equals(own)));
-        return candidates.subList(0, Math.min(settings.helpers(), candidates.size()));
+                Comparator.comparing(member -> member.payload().dataCentre().equals(ownDataCentre)));
+        return candidates.subList(0, Math.min(settings.indirectProbers(), candidates.size()));
     }
 
-    private Member next() {
-        for (int rounds = 0; rounds < 2; rounds++) {
-            while (!order.isEmpty()) {
-                Member member = table.member(order.removeFirst());
+    private Member nextTarget() {
+        for (int attempt = 0; attempt < 2; attempt++) {
+            while (!probeOrder.isEmpty()) {
+                Member member = table.member(probeOrder.removeFirst());
                 if (member != null && member.state() != MemberState.DEAD) {
                     return member;
                 }
             }
-            shuffle();
+            refillProbeOrder();
         }
         return null;
     }
 
-    private void shuffle() {
+    private void refillProbeOrder() {
         List<String> names = new ArrayList<>();
-        for (Member member : table.where(member -> member.state() != MemberState.DEAD)) {
+        for (Member member : table.matching(member -> member.state() != MemberState.DEAD)) {
             names.add(member.name());
         }
         Shuffles.shuffle(names, random);
-        order.addAll(names);
+        probeOrder.addAll(names);
     }
 
-    private void dropOldRelays(long nowNanos) {
-        Iterator<Relay> each = relays.values().iterator();
-        while (each.hasNext() && nowNanos - each.next().sinceNanos > settings.probePeriodNanos()) {
-            each.remove();
+    private void evictOldRelayedPings(long nowNanos) {
+        Iterator<RelayedPing> iterator = relayedPings.values().iterator();
+        while (iterator.hasNext() && nowNanos - iterator.next().sentNanos > settings.probePeriodNanos()) {
+            iterator.remove();
         }
     }
 
-    /** The running probe. */
+    /** A probe that waits for an ack. */
     private static final class Probe {
         private final String target;
         private final long sequence;
@@ -195,5 +205,6 @@
         }
     }
 
-    private record Relay(InetSocketAddress requester, long sequence, long sinceNanos) {}
+    /** A ping sent on behalf of another member, with that member's sequence number. */
+    private record RelayedPing(InetSocketAddress requester, long sequence, long sentNanos) {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Suspicions.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/Suspicions.java
@@ -5,32 +5,37 @@
 import java.util.List;
 import java.util.Map;
 
-/** The running suspicion timeouts. */
+/** The running suspicion timeouts, and the times at which suspects are pinged directly. */
 final class Suspicions {
 
-    private static final int ASK_BOUND = 64;
+    private static final int MAX_PINGS_PER_TICK = 64;
 
     private final Map<String, Suspicion> running = new HashMap<>();
 
-    /** The suspect itself is asked from a time on: at once by those who found it silent, late by the others. */
-    void start(String name, long deadlineNanos, long askFromNanos) {
-        running.put(name, new Suspicion(deadlineNanos, askFromNanos));
+    /**
+     * Starts the timeout of a suspect.
+     *
+     * @param firstPingNanos when to ping the suspect directly for the first time: at once if this process raised the
+     *     suspicion or cannot confirm a reported death, later if another member raised it
+     */
+    void start(String name, long deadlineNanos, long firstPingNanos) {
+        running.put(name, new Suspicion(deadlineNanos, firstPingNanos));
     }
 
-    void end(String name) {
+    void cancel(String name) {
         running.remove(name);
     }
 
-    /** Brings a timeout forward. */
-    void hasten(String name, long deadlineNanos) {
+    /** Moves a deadline forward; a deadline that is already earlier stays. */
+    void shorten(String name, long deadlineNanos) {
         Suspicion suspicion = running.get(name);
         if (suspicion != null && suspicion.deadlineNanos - deadlineNanos > 0) {
             suspicion.deadlineNanos = deadlineNanos;
         }
     }
 
-    /** Gives each suspect the whole time again. */
-    void restart(long deadlineNanos) {
+    /** Sets the deadline of all suspects. */
+    void restartAll(long deadlineNanos) {
         for (Suspicion suspicion : running.values()) {
             suspicion.deadlineNanos = deadlineNanos;
         }
@@ -46,50 +51,53 @@
         return names;
     }
 
-    /** Suspects that are to be asked directly, a bounded number at a time. */
-    List<String> toAsk(long nowNanos, long periodNanos) {
+    /** Returns a bounded number of suspects that are due for a direct ping, and schedules their next one. */
+    List<String> takeDueForPing(long nowNanos, long periodNanos) {
         List<String> names = new ArrayList<>();
         for (Map.Entry<String, Suspicion> entry : running.entrySet()) {
             Suspicion suspicion = entry.getValue();
-            if (nowNanos - suspicion.askFromNanos >= 0 && names.size() < ASK_BOUND) {
-                suspicion.asked(nowNanos, periodNanos);
+            if (nowNanos - suspicion.nextPingNanos >= 0 && names.size() < MAX_PINGS_PER_TICK) {
+                suspicion.recordPing(nowNanos, periodNanos);
                 names.add(entry.getKey());
             }
         }
         return names;
     }
 
-    /** Whether a suspect was first asked so long ago; if it was not asked yet, it is to be asked now. */
-    boolean askedFor(String name, long nanos, long nowNanos) {
+    /**
+     * Returns whether the first direct ping of a suspect was sent at least {@code nanos} ago. If none was sent yet, one
+     * becomes due now.
+     */
+    boolean wasPingedBefore(String name, long nanos, long nowNanos) {
         Suspicion suspicion = running.get(name);
         if (suspicion == null) {
             return true;
         }
-        if (!suspicion.asked) {
-            suspicion.askFromNanos = nowNanos;
+        if (!suspicion.pinged) {
+            suspicion.nextPingNanos = nowNanos;
             return false;
         }
-        return nowNanos - suspicion.firstAskedNanos >= nanos;
+        return nowNanos - suspicion.firstPingNanos >= nanos;
     }
 
-    /** One timeout. */
+    /** The timeout of one suspect. */
     private static final class Suspicion {
         private long deadlineNanos;
-        private long askFromNanos;
-        private boolean asked;
-        private long firstAskedNanos;
+        private long nextPingNanos;
+        private boolean pinged;
+        private long firstPingNanos;
 
-        private Suspicion(long deadlineNanos, long askFromNanos) {
+        private Suspicion(long deadlineNanos, long nextPingNanos) {
             this.deadlineNanos = deadlineNanos;
-            this.askFromNanos = askFromNanos;
+            this.nextPingNanos = nextPingNanos;
         }
 
-        private void asked(long nowNanos, long periodNanos) {
-            if (!asked) {
-                asked = true;
-                firstAskedNanos = nowNanos;
+        private void recordPing(long nowNanos, long periodNanos) {
+            if (!pinged) {
+                pinged = true;
+                firstPingNanos = nowNanos;
             }
-            askFromNanos = nowNanos + periodNanos;
+            nextPingNanos = nowNanos + periodNanos;
         }
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/TableExchange.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/TableExchange.java
@@ -9,17 +9,20 @@
 import org.dotterelcourse.coordination.membership.MembershipMessage.Sync;
 import org.dotterelcourse.coordination.membership.MembershipMessage.Table;
 
-/** Brings whole tables together: on joining, at a slow period with a random member, and after a partition. */
+/**
+ * Synchronizes whole membership tables (anti-entropy): with seeds on joining, periodically with a random member, and
+ * with members that are dead in the local view, to merge the parts of the fleet after a partition.
+ */
 final class TableExchange {
 
-    private static final int SEEDS_A_ROUND = 3;
-    private static final int MANY_RUMOURS = 32;
-    private static final int BUSY_SYNC_FACTOR = 10;
-    private static final int YOUNG_PERIODS = 10;
+    private static final int SEEDS_PER_ROUND = 3;
+    private static final int GOSSIP_BACKLOG_THRESHOLD = 32;
+    private static final int BACKLOG_SYNC_FACTOR = 10;
+    private static final int STARTUP_PROBE_PERIODS = 10;
 
-    private final SelfRecord self;
+    private final LocalMember self;
     private final MemberTable table;
-    private final Rumours rumours;
+    private final GossipQueue gossip;
     private final MembershipSettings settings;
     private final RandomGenerator random;
     private final Outbox out;
@@ -29,16 +32,16 @@
     private long nextJoinNanos;
 
     TableExchange(
-            SelfRecord self,
+            LocalMember self,
             MemberTable table,
-            Rumours rumours,
+            GossipQueue gossip,
             MembershipSettings settings,
             RandomGenerator random,
             Outbox out,
             long nowNanos) {
         this.self = self;
         this.table = table;
-        this.rumours = rumours;
+        this.gossip = gossip;
         this.settings = settings;
         this.random = random;
         this.out = out;
@@ -48,93 +51,98 @@
         nextReconnectNanos = nowNanos + random.nextLong(settings.reconnectPeriodNanos());
     }
 
-    void tick(long nowNanos, List<ListedVm> listed) {
-        join(nowNanos, listed);
+    void tick(long nowNanos, List<ListedVm> vmList) {
+        join(nowNanos, vmList);
         sync(nowNanos);
-        reconnect(nowNanos, listed);
+        reconnect(nowNanos, vmList);
     }
 
-    /** Compares tables with the next tick. */
-    void soon(long nowNanos) {
+    /** Schedules a sync for the next tick. */
+    void scheduleSync(long nowNanos) {
         nextSyncNanos = nowNanos;
     }
 
-    /** Until anybody is known, offers the empty table to a few seeds and wants theirs. */
-    private void join(long nowNanos, List<ListedVm> listed) {
-        if (nowNanos - nextJoinNanos < 0 || table.livingCount() > 0 || listed.isEmpty()) {
+    /** Sends the table to a few seeds and requests theirs, each probe period until there is a live member. */
+    private void join(long nowNanos, List<ListedVm> vmList) {
+        if (nowNanos - nextJoinNanos < 0 || table.liveCount() > 0 || vmList.isEmpty()) {
             return;
         }
         nextJoinNanos = nowNanos + settings.probePeriodNanos();
-        List<ListedVm> seeds = new ArrayList<>(listed);
+        List<ListedVm> seeds = new ArrayList<>(vmList);
         Shuffles.shuffle(seeds, random);
-        for (ListedVm seed : seeds.subList(0, Math.min(SEEDS_A_ROUND, seeds.size()))) {
+        for (ListedVm seed : seeds.subList(0, Math.min(SEEDS_PER_ROUND, seeds.size()))) {
             sendTable(seed.address(), true);
         }
     }
 
-    /** News beyond what messages can carry soon, as after a partition has healed, goes by whole tables. */
+    /** Compares tables with a random live member. */
     private void sync(long nowNanos) {
         if (nowNanos - nextSyncNanos < 0) {
             return;
         }
         nextSyncNanos = nowNanos + syncPeriod(nowNanos);
-        List<Member> partners = table.where(member -> member.state() == MemberState.ALIVE);
+        List<Member> partners = table.matching(member -> member.state() == MemberState.ALIVE);
         if (!partners.isEmpty()) {
             Member partner = partners.get(random.nextInt(partners.size()));
             Sync sync = new Sync(table.digest(self.update()));
-            out.send(partner.address(), Path.STREAM, sync, partner.name());
+            out.send(partner.address(), DeliveryMode.STREAM, sync, partner.name());
         }
     }
 
-    /** A new process may have joined through one that is new itself, as when a data centre starts at once. */
+    /**
+     * Returns the time until the next sync. It is short after the start, because when a whole data centre starts, a
+     * process may have joined through another new one with an incomplete table. It is also short while more updates are
+     * pending than gossip can carry soon, for example after a partition.
+     */
     private long syncPeriod(long nowNanos) {
-        if (nowNanos - startNanos < YOUNG_PERIODS * settings.probePeriodNanos()) {
+        if (nowNanos - startNanos < STARTUP_PROBE_PERIODS * settings.probePeriodNanos()) {
             return settings.probePeriodNanos();
         }
-        boolean busy = rumours.size() > MANY_RUMOURS;
-        return settings.syncPeriodNanos() / (busy ? BUSY_SYNC_FACTOR : 1);
+        boolean backlogged = gossip.size() > GOSSIP_BACKLOG_THRESHOLD;
+        return settings.syncPeriodNanos() / (backlogged ? BACKLOG_SYNC_FACTOR : 1);
     }
 
     /**
-     * Two parts of the fleet that lost each other for longer than the suspicion timeout hold each other dead, and
-     * nobody probes the dead. One attempt a period at such a member, or at a listed VM that is unknown here, brings
-     * the parts together again.
+     * Tries to reach one dead member, or one listed VM that has no live member, each period. Two parts of the fleet that
+     * were partitioned for longer than the suspicion timeout hold each other dead, and dead members are not probed;
+     * without this, the parts would not merge again.
      */
-    private void reconnect(long nowNanos, List<ListedVm> listed) {
+    private void reconnect(long nowNanos, List<ListedVm> vmList) {
         if (nowNanos - nextReconnectNanos < 0) {
             return;
         }
         nextReconnectNanos = nowNanos + settings.reconnectPeriodNanos();
         List<InetSocketAddress> candidates = new ArrayList<>();
-        for (ListedVm vm : listed) {
-            if (!table.holds(vm.address())) {
+        for (ListedVm vm : vmList) {
+            if (!table.hasLiveMemberAt(vm.address())) {
                 candidates.add(vm.address());
             }
         }
-        for (Member member : table.where(each -> each.state() == MemberState.DEAD)) {
-            if (!table.holds(member.address()) && !candidates.contains(member.address())) {
+        for (Member member : table.matching(candidate -> candidate.state() == MemberState.DEAD)) {
+            if (!table.hasLiveMemberAt(member.address()) && !candidates.contains(member.address())) {
                 candidates.add(member.address());
             }
         }
         if (!candidates.isEmpty()) {
-            reach(candidates.get(random.nextInt(candidates.size())));
+            sendSync(candidates.get(random.nextInt(candidates.size())));
         }
     }
 
-    private void reach(InetSocketAddress address) {
-        List<Update> claims = new ArrayList<>();
-        for (Member member : table.where(each -> each.address().equals(address))) {
-            claims.add(member.update());
+    /** Sends a sync with the updates about the members at this address, so that they can refute them. */
+    private void sendSync(InetSocketAddress address) {
+        List<Update> updates = new ArrayList<>();
+        for (Member member : table.matching(candidate -> candidate.address().equals(address))) {
+            updates.add(member.update());
         }
         Sync sync = new Sync(table.digest(self.update()));
-        out.sendBare(address, Path.DATAGRAM, sync, claims);
+        out.sendWithoutGossip(address, DeliveryMode.DATAGRAM, sync, updates);
     }
 
     void sendTable(InetSocketAddress to, boolean replyWanted) {
         List<Update> updates = new ArrayList<>();
-        for (Member member : table.all()) {
+        for (Member member : table.members()) {
             updates.add(member.update());
         }
-        out.sendBare(to, Path.STREAM, new Table(replyWanted), updates);
+        out.sendWithoutGossip(to, DeliveryMode.STREAM, new Table(replyWanted), updates);
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/UpdateSize.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/UpdateSize.java
@@ -1,16 +1,16 @@
 package org.dotterelcourse.coordination.membership;
 
-/** Upper estimate of a statement's encoded size, so that a message stays within one datagram. */
+/** Estimates the encoded size of an update from above, so that each message fits into one datagram. */
 final class UpdateSize {
 
-    /** Numbers, address, state and field tags. */
-    private static final int FIXED = 80;
+    /** Upper bound for numbers, address, state and field tags. */
+    private static final int FIXED_BYTES = 80;
 
     private UpdateSize() {}
 
     static int of(Update update) {
         Payload payload = update.payload();
-        return FIXED
+        return FIXED_BYTES
                 + update.id().name().length()
                 + payload.clientAddress().length()
                 + payload.dataCentre().length()
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who is in the fleet: probing in the manner of SWIM (Das, Gupta, Motivala, 2002) with incarnation numbers, suspicion,
- * indirect probes and piggy-backed dissemination, and a leaving state beside it.
+ * Group membership and failure detection by SWIM (Das, Gupta, Motivala, 2002) with incarnation numbers, suspicion,
+ * indirect probes and updates piggybacked on messages, extended by a state for members that are shutting down.
  */
 package org.dotterelcourse.coordination.membership;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/Fleet.java
@@ -11,121 +11,121 @@
 import org.dotterelcourse.coordination.MemberId;
 import org.dotterelcourse.coordination.SimulatedNetwork;
 
-/** Membership machines on a wire. All messages go through the codec, as they do between processes. */
+/** Memberships on a simulated network. All messages are encoded and decoded, as they are between processes. */
 final class Fleet {
 
-    /** A message as bytes, with the path it took. */
-    record Packet(Path path, byte[] bytes) {}
+    /** An encoded message and how it was sent. */
+    record Packet(DeliveryMode mode, byte[] bytes) {}
 
-    /** A member declared dead by another, with both their positions. */
-    record Death(int by, String name, long incarnation, long atNanos) {}
+    /** The death of a member as recorded by one node. */
+    record Death(int observer, String name, long incarnation, long atNanos) {}
 
-    final SimulatedNetwork<Packet> wire;
+    final SimulatedNetwork<Packet> network;
     final Map<Integer, Membership> nodes = new TreeMap<>();
     final List<Death> deaths = new ArrayList<>();
     final List<MembershipEffect.PauseDetected> pauses = new ArrayList<>();
     final List<MembershipEffect.Superseded> superseded = new ArrayList<>();
     int largestDatagram;
     long datagramBytes;
-    private final Map<Integer, Long> nextTick = new HashMap<>();
+    private final Map<Integer, Long> nextTickNanos = new HashMap<>();
     private final MembershipSettings settings;
-    private final String callersAddress;
+    private final String clientAddress;
     private final Random random;
-    private List<ListedVm> list = List.of();
+    private List<ListedVm> vmList = List.of();
 
     Fleet(int size, long seed, MembershipSettings settings) {
         this(size, seed, settings, "10.0.0.1:8080");
     }
 
-    Fleet(int size, long seed, MembershipSettings settings, String callersAddress) {
-        this.callersAddress = callersAddress;
+    Fleet(int size, long seed, MembershipSettings settings, String clientAddress) {
+        this.clientAddress = clientAddress;
         this.settings = settings;
         this.random = new Random(seed);
-        this.wire = new SimulatedNetwork<>(seed);
+        this.network = new SimulatedNetwork<>(seed);
         for (int i = 0; i < size; i++) {
             start(i, name(i), 1);
         }
-        list(nodes.keySet());
-        tellList();
+        setVmList(nodes.keySet());
+        sendVmList();
     }
 
     static String name(int node) {
         return "entry-" + node;
     }
 
-    void list(Collection<Integer> listed) {
+    void setVmList(Collection<Integer> listedNodes) {
         List<ListedVm> vms = new ArrayList<>();
-        for (int node : listed) {
+        for (int node : listedNodes) {
             vms.add(new ListedVm(name(node), SimulatedNetwork.address(node)));
         }
-        list = vms;
+        vmList = vms;
     }
 
-    void tellList() {
+    void sendVmList() {
         for (int node : List.copyOf(nodes.keySet())) {
-            tell(node, new MembershipEvent.VmListReceived(list));
+            submit(node, new MembershipEvent.VmListReceived(vmList));
         }
     }
 
-    /** Starts a process at a place, in place of any that ran there. */
+    /** Starts a process on a node, replacing one that runs there. */
     void start(int node, String name, long incarnation) {
         Membership membership = Membership.builder()
                 .self(new MemberId(name, incarnation))
                 .address(SimulatedNetwork.address(node))
-                .payload(new Payload(callersAddress, "dc-" + node % 3, "muscat", 0, 0, 0))
+                .payload(new Payload(clientAddress, "dc-" + node % 3, "muscat", 0, 0, 0))
                 .random(new Random(random.nextLong()))
                 .settings(settings)
-                .build(wire.nowNanos());
+                .build(network.nowNanos());
         nodes.put(node, membership);
-        nextTick.put(node, wire.nowNanos() + random.nextLong(settings.tickNanos()));
-        wire.attach(node, (from, packet) -> receive(node, from, packet));
-        tell(node, new MembershipEvent.VmListReceived(list));
+        nextTickNanos.put(node, network.nowNanos() + random.nextLong(settings.tickNanos()));
+        network.attach(node, (from, packet) -> receive(node, from, packet));
+        submit(node, new MembershipEvent.VmListReceived(vmList));
     }
 
     void stop(int node) {
         nodes.remove(node);
-        wire.detach(node);
+        network.detach(node);
     }
 
-    void tell(int node, MembershipEvent event) {
-        carryOut(node, nodes.get(node).on(event, wire.nowNanos()));
+    void submit(int node, MembershipEvent event) {
+        execute(node, nodes.get(node).on(event, network.nowNanos()));
     }
 
-    /** Runs for a while; a paused node does not tick. */
+    /** Advances the simulated time; a paused node gets no ticks. */
     void run(long nanos) {
-        long end = wire.nowNanos() + nanos;
-        while (wire.nowNanos() < end) {
-            wire.advanceTo(wire.nowNanos() + 10 * SimulatedNetwork.MILLISECOND);
+        long end = network.nowNanos() + nanos;
+        while (network.nowNanos() < end) {
+            network.advanceTo(network.nowNanos() + 10 * SimulatedNetwork.MILLISECOND);
             for (int node : List.copyOf(nodes.keySet())) {
-                if (!wire.isPaused(node) && nextTick.get(node) <= wire.nowNanos()) {
-                    nextTick.put(node, wire.nowNanos() + settings.tickNanos());
-                    tell(node, new MembershipEvent.Tick());
+                if (!network.isPaused(node) && nextTickNanos.get(node) <= network.nowNanos()) {
+                    nextTickNanos.put(node, network.nowNanos() + settings.tickNanos());
+                    submit(node, new MembershipEvent.Tick());
                 }
             }
         }
     }
 
-    MemberState state(int by, String of) {
-        for (Member member : nodes.get(by).members()) {
-            if (member.name().equals(of)) {
+    MemberState state(int observer, String name) {
+        for (Member member : nodes.get(observer).members()) {
+            if (member.name().equals(name)) {
                 return member.state();
             }
         }
         return null;
     }
 
-    /** Whether each running process sees exactly the running ones, all in the given state. */
+    /** Returns whether each running process sees exactly the running processes, all in the given state. */
     boolean converged(MemberState state) {
         for (Membership each : nodes.values()) {
-            int good = 0;
+            int matches = 0;
             for (Member member : each.members()) {
                 if (member.state() == state) {
-                    good++;
+                    matches++;
                 } else if (member.state() != MemberState.DEAD) {
                     return false;
                 }
             }
-            if (good != nodes.size()) {
+            if (matches != nodes.size()) {
                 return false;
             }
         }
@@ -134,21 +134,21 @@
 
     private void receive(int node, int from, Packet packet) {
         MembershipMessage message = MembershipCodec.decode(packet.bytes).orElseThrow();
-        Path path = packet.path == Path.DATAGRAM ? Path.DATAGRAM : Path.STREAM;
-        tell(node, new MembershipEvent.Received(SimulatedNetwork.address(from), path, message));
+        DeliveryMode mode = packet.mode == DeliveryMode.DATAGRAM ? DeliveryMode.DATAGRAM : DeliveryMode.STREAM;
+        submit(node, new MembershipEvent.Received(SimulatedNetwork.address(from), mode, message));
     }
 
-    private void carryOut(int node, List<MembershipEffect> effects) {
+    private void execute(int node, List<MembershipEffect> effects) {
         for (MembershipEffect effect : effects) {
             if (effect instanceof MembershipEffect.Send send) {
-                Packet packet = new Packet(send.path(), MembershipCodec.encode(send.message()));
-                if (send.path() == Path.DATAGRAM) {
+                Packet packet = new Packet(send.mode(), MembershipCodec.encode(send.message()));
+                if (send.mode() == DeliveryMode.DATAGRAM) {
                     largestDatagram = Math.max(largestDatagram, packet.bytes.length);
                     datagramBytes += packet.bytes.length;
                 }
-                wire.send(node, SimulatedNetwork.node(send.to()), packet, send.path() != Path.DATAGRAM);
+                network.send(node, SimulatedNetwork.node(send.to()), packet, send.mode() != DeliveryMode.DATAGRAM);
             } else if (effect instanceof MembershipEffect.MemberChanged changed) {
-                note(node, changed.member());
+                recordDeath(node, changed.member());
             } else if (effect instanceof MembershipEffect.PauseDetected pause) {
                 pauses.add(pause);
             } else if (effect instanceof MembershipEffect.Superseded by) {
@@ -157,9 +157,9 @@
         }
     }
 
-    private void note(int node, Member member) {
+    private void recordDeath(int observer, Member member) {
         if (member.state() == MemberState.DEAD) {
-            deaths.add(new Death(node, member.name(), member.id().incarnation(), wire.nowNanos()));
+            deaths.add(new Death(observer, member.name(), member.id().incarnation(), network.nowNanos()));
         }
     }
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/LoopbackMembershipTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/LoopbackMembershipTest.java
@@ -18,7 +18,7 @@
 
 class LoopbackMembershipTest {
 
-    private static final long BOUND_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
 
     private final List<Node> nodes = new ArrayList<>();
 
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void processesFindOneAnotherThroughOneSeed() {
+    void processesDiscoverOneAnotherThroughOneSeed() {
         start(4);
         for (Node node : nodes) {
             awaitView(node, view -> count(view, MemberState.ALIVE) == 4);
@@ -38,8 +38,8 @@
     }
 
     /**
-     * A VM is lost without a word, as when its host fails. Callers would go on being sent to its address until the
-     * others have noticed.
+     * A VM is lost without announcing its shutdown, for example because its host fails. Until the other processes
+     * detect the loss, clients are still sent to its address.
      */
     @Test
     void stoppedProcessIsDeclaredDeadByAllOthers() {
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void leavingReachesAllOthers() {
+    void leavingStateReachesAllOthers() {
         start(3);
         for (Node node : nodes) {
             awaitView(node, view -> count(view, MemberState.ALIVE) == 3);
@@ -86,7 +86,7 @@
                 met.complete(node.membership.members());
             }
         });
-        assertThat(met.orTimeout(BOUND_SECONDS, TimeUnit.SECONDS)).succeedsWithin(BOUND_SECONDS, TimeUnit.SECONDS);
+        assertThat(met.orTimeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)).succeedsWithin(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private static final class Node {
@@ -96,8 +96,8 @@
 
         private Node(String name, int seed) {
             MemberId id = new MemberId(name, 1);
-            InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            transport = PeerTransport.builder().bind(any).self(id).build().start();
+            InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+            transport = PeerTransport.builder().bind(anyPort).self(id).build().start();
             membership = Membership.builder()
                     .self(id)
                     .address(transport.address())
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipBoundsTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipBoundsTest.java
@@ -16,8 +16,8 @@
     private static final MembershipSettings STANDARD = MembershipSettings.STANDARD;
 
     /**
-     * A data centre is lost at once, and everybody has much news for everybody. A message above the size of a datagram
-     * would never arrive, and with it none of the news.
+     * When a whole data centre is lost, all members have many updates to disseminate. A message above the size of a
+     * datagram would never arrive, and neither would the updates in it.
      */
     @Test
     void messagesStayWithinADatagramWhenAThirdOfTheFleetIsLost() {
@@ -34,25 +34,25 @@
     }
 
     @Test
-    void payloadThatLeavesNoRoomInADatagramIsRefused() {
+    void payloadTooLongForADatagramIsRejected() {
         assertThatThrownBy(() -> new Fleet(1, 1, STANDARD, "x".repeat(300)))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
-    void steadyTrafficOfAMemberDoesNotGrowWithTheFleet() {
-        double small = steadyBytesOfAMember(16);
-        double large = steadyBytesOfAMember(128);
+    void steadyStateTrafficOfAMemberDoesNotGrowWithTheFleet() {
+        double small = steadyStateBytesPerMember(16);
+        double large = steadyStateBytesPerMember(128);
         assertThat(large).isLessThan(small * 1.1);
     }
 
     /**
-     * VMs are replaced all day for weeks, each time under a new name. If the names of the dead stayed, the memory and
-     * the tables that travel would grow until daemons fail together.
+     * VMs are replaced continually for weeks, each time under a new name. If dead members were never evicted, memory and
+     * transmitted tables would grow until all daemons fail at the same time.
      */
     @Test
-    void membersThatAreLongDeadAreForgotten() {
-        Fleet fleet = new Fleet(4, 53, quickToForget());
+    void deadMembersAreEvictedAfterTheirRetentionPeriod() {
+        Fleet fleet = new Fleet(4, 53, withShortDeadRetention());
         for (int generation = 1; generation <= 30; generation++) {
             fleet.stop(3);
             fleet.run(15 * SECOND);
@@ -65,7 +65,7 @@
         assertThat(sizes).containsOnly(4);
     }
 
-    private static double steadyBytesOfAMember(int size) {
+    private static double steadyStateBytesPerMember(int size) {
         Fleet fleet = new Fleet(size, 52, STANDARD);
         fleet.run(60 * SECOND);
         fleet.datagramBytes = 0;
@@ -73,17 +73,17 @@
         return (double) fleet.datagramBytes / size;
     }
 
-    private static MembershipSettings quickToForget() {
+    private static MembershipSettings withShortDeadRetention() {
         return new MembershipSettings(
                 STANDARD.tickNanos(),
-                STANDARD.pauseNanos(),
+                STANDARD.pauseThresholdNanos(),
                 STANDARD.probePeriodNanos(),
                 STANDARD.pingTimeoutNanos(),
                 STANDARD.suspicionNanos(),
-                STANDARD.confirmedSuspicionNanos(),
+                STANDARD.unlistedSuspicionNanos(),
                 STANDARD.gossipPeriodNanos(),
                 STANDARD.gossipFanOut(),
-                STANDARD.helpers(),
+                STANDARD.indirectProbers(),
                 STANDARD.syncPeriodNanos(),
                 STANDARD.reconnectPeriodNanos(),
                 60 * SECOND,
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipCodecPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipCodecPropertyTest.java
@@ -24,7 +24,7 @@
 class MembershipCodecPropertyTest {
 
     @Property(seed = "61", tries = 300)
-    void decodingGivesWhatWasEncoded(@ForAll long seed) {
+    void decodedMessageEqualsTheEncodedOne(@ForAll long seed) {
         Random random = new Random(seed);
         List<Update> updates = new ArrayList<>();
         for (int i = random.nextInt(5); i > 0; i--) {
@@ -35,20 +35,20 @@
     }
 
     /**
-     * Anybody can send datagrams to the peer port. One that made the decoder throw would be an easy way to disturb a
-     * daemon.
+     * Any host can send datagrams to the peer port. If the decoder threw an exception for some of them, they could be
+     * used to disturb a daemon.
      */
     @Property(seed = "62", tries = 1_000)
-    void arbitraryBytesAreRefusedWithoutAnException(@ForAll @Size(max = 200) byte[] bytes) {
+    void arbitraryBytesAreRejectedWithoutAnException(@ForAll @Size(max = 200) byte[] bytes) {
         assertThatCode(() -> MembershipCodec.decode(bytes)).doesNotThrowAnyException();
     }
 
     @Property(seed = "63", tries = 500)
-    void damagedMessagesAreRefusedOrReadWithoutAnException(
-            @ForAll long seed, @ForAll @IntRange(max = 10_000) int place, @ForAll byte value) {
+    void damagedMessagesAreRejectedOrDecodedWithoutAnException(
+            @ForAll long seed, @ForAll @IntRange(max = 10_000) int offset, @ForAll byte value) {
         Random random = new Random(seed);
         byte[] bytes = MembershipCodec.encode(new MembershipMessage(body(random), update(random), List.of()));
-        bytes[place % bytes.length] = value;
+        bytes[offset % bytes.length] = value;
         assertThatCode(() -> MembershipCodec.decode(bytes)).doesNotThrowAnyException();
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipPropertyTest.java
@@ -20,39 +20,39 @@
     private static final MembershipSettings SETTINGS = MembershipSettings.STANDARD;
 
     /**
-     * For a minute everything goes wrong at once: messages are lost, delayed, doubled, links are cut one way, processes
-     * pause, restart and end. If views stayed apart afterwards, callers would be sent to daemons that are gone, or never
-     * again to some that are there.
+     * For a minute, messages are lost, delayed and duplicated, links are blocked in one direction, and processes pause,
+     * restart and exit. If the views did not converge afterwards, clients would be sent to daemons that no longer run, or
+     * would never again be sent to some that do.
      */
     @Property(seed = "21", tries = 25)
-    void viewsAgreeOnceEverythingHasHealed(
+    void viewsConvergeAfterAllFaultsAreCleared(
             @ForAll @IntRange(min = 2, max = 14) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         Random random = new Random(seed);
         for (int round = 0; round < 12; round++) {
-            trouble(fleet, size, random, 2 + round);
+            injectFaults(fleet, size, random, 2 + round);
             fleet.run(5 * SECOND);
         }
-        fleet.wire.clearFaults();
+        fleet.network.clearFaults();
         fleet.run(120 * SECOND);
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
         assertOwnersAgree(fleet);
     }
 
     /**
-     * The host of one daemon stalls for longer than any timeout, and the process wakes with its old beliefs: to it, all
-     * others have been silent for ages. If it declared them dead, its news would take healthy daemons out of the answer
-     * to callers.
+     * The host of one daemon stalls for longer than any timeout. When the process resumes, all other members seem to
+     * have been silent. If it declared them dead, its updates would remove healthy daemons from the addresses that
+     * clients get.
      */
     @Property(seed = "22", tries = 25)
-    void pausedProcessDeclaresNobodyDeadWhenItWakes(
+    void pausedProcessDeclaresNoMemberDeadWhenItResumes(
             @ForAll @IntRange(min = 2, max = 12) int size,
             @ForAll @IntRange(min = 2, max = 90) int pauseSeconds,
             @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
         fleet.deaths.clear();
-        fleet.wire.pause(0, pauseSeconds * SECOND);
+        fleet.network.pause(0, pauseSeconds * SECOND);
         fleet.run((pauseSeconds + 60) * SECOND);
         assertThat(fleet.pauses).isNotEmpty();
         assertThat(fleet.deaths).allMatch(death -> death.name().equals(Fleet.name(0)));
@@ -60,85 +60,87 @@
     }
 
     /**
-     * A link carries one way only, as with a half-broken switch port. Each of the two daemons is well; if either took
-     * the other for dead, its cells would move and its callers be turned away for nothing.
+     * A link works in one direction only, for example because of a faulty switch port. Both daemons are healthy. If
+     * either declared the other dead, cells would change owner and clients would be rejected without need.
      */
     @Property(seed = "23", tries = 25)
-    void cutInOneDirectionBetweenTwoMakesNobodyDead(
+    void linkBlockedInOneDirectionMakesNoMemberDead(
             @ForAll @IntRange(min = 3, max = 12) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
-        fleet.wire.blockLink(0, 1);
+        fleet.network.blockLink(0, 1);
         fleet.run(120 * SECOND);
         assertThat(fleet.deaths).isEmpty();
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
     }
 
     /**
-     * One message in twenty is lost everywhere, for minutes. Daemons that are well must not be taken for dead, or the
-     * fleet would spend its time moving cells.
+     * One message in twenty is lost on all links for minutes. If healthy daemons were declared dead, cells would change
+     * owner all the time.
      */
     @Property(seed = "24", tries = 15)
-    void lossAloneMakesNobodyDead(
+    void messageLossAloneMakesNoMemberDead(
             @ForAll @IntRange(min = 3, max = 14) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
-        fleet.wire.setFaults(0.05, 0.05, 20 * SimulatedNetwork.MILLISECOND);
+        fleet.network.setFaults(0.05, 0.05, 20 * SimulatedNetwork.MILLISECOND);
         fleet.run(180 * SECOND);
         assertThat(fleet.deaths).isEmpty();
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
     }
 
     /**
-     * Two regions lose each other for a while, and each goes on alone. When the line is back, the daemons of one region
-     * hear from the other that they are all dead; no region may take its own healthy members out because of that.
+     * Two regions are partitioned for a while and both continue to work. When the partition ends, each region reports all
+     * daemons of the other one dead. No region may remove its own healthy members because of these reports.
      */
     @Property(seed = "25", tries = 15)
-    void healedPartitionMakesNobodyDeadInHisOwnPart(
+    void endOfAPartitionMakesNoMemberDeadInItsOwnPart(
             @ForAll @IntRange(min = 4, max = 14) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
         partition(fleet, size);
         fleet.run(120 * SECOND);
-        fleet.wire.clearFaults();
+        fleet.network.clearFaults();
         fleet.deaths.clear();
         fleet.run(120 * SECOND);
-        assertThat(fleet.deaths).noneMatch(death -> inFirstHalf(death.by(), size) == inFirstHalf(death.name(), size));
+        assertThat(fleet.deaths)
+                .noneMatch(death -> inFirstHalf(death.observer(), size) == inFirstHalf(death.name(), size));
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
     }
 
     /**
-     * The same in a larger fleet, where the word that all are dead comes from many at once, faster than those who are
-     * said to be dead can answer.
+     * The same in a larger fleet, where many members report the deaths at once, faster than the reported members can
+     * refute them.
      */
     @Example
-    void healedPartitionOfALargeFleetMakesNobodyDeadInHisOwnPart() {
+    void endOfAPartitionOfALargeFleetMakesNoMemberDeadInItsOwnPart() {
         int size = 80;
         Fleet fleet = new Fleet(size, 7, SETTINGS);
         fleet.run(30 * SECOND);
         partition(fleet, size);
         fleet.run(40 * SECOND);
-        fleet.wire.clearFaults();
+        fleet.network.clearFaults();
         fleet.deaths.clear();
         fleet.run(40 * SECOND);
-        assertThat(fleet.deaths).noneMatch(death -> inFirstHalf(death.by(), size) == inFirstHalf(death.name(), size));
+        assertThat(fleet.deaths)
+                .noneMatch(death -> inFirstHalf(death.observer(), size) == inFirstHalf(death.name(), size));
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
     }
 
     /**
-     * A VM is replaced: the new one has the name, another address and a later incarnation, while the old process was
-     * only paused. When it wakes it must not fight for the name, or both would flap in everybody's view.
+     * A VM is replaced by one with the same name, another address and a higher incarnation, while the old process is only
+     * paused. If the old process competed for the name when it resumes, both would flap in the view of all members.
      */
     @Property(seed = "26", tries = 20)
-    void wokenProcessOfAReplacedVmFallsSilent(
+    void resumedProcessOfAReplacedVmStops(
             @ForAll @IntRange(min = 3, max = 10) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
-        fleet.wire.pause(0, 60 * SECOND);
+        fleet.network.pause(0, 60 * SECOND);
         fleet.run(10 * SECOND);
         fleet.start(size, Fleet.name(0), 1_000);
         fleet.run(120 * SECOND);
         assertThat(fleet.superseded).hasSize(1);
-        assertThat(fleet.nodes.get(0).silenced()).isTrue();
+        assertThat(fleet.nodes.get(0).isStopped()).isTrue();
         fleet.stop(0);
         fleet.run(30 * SECOND);
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
@@ -148,11 +150,11 @@
     }
 
     /**
-     * A VM is lost and its IP number goes to a new VM of another name. Probes meant for the lost one reach a process
-     * that is well; if its answers counted, the lost daemon would stay alive for ever.
+     * A VM is lost and its IP address is assigned to a new VM with another name. Probes of the lost member now reach a
+     * healthy process. If its acks counted for the lost member, that one would stay alive forever.
      */
     @Property(seed = "27", tries = 20)
-    void lostVmIsDeadThoughAnotherHasItsAddress(
+    void lostVmIsDeclaredDeadAlthoughAnotherHasItsAddress(
             @ForAll @IntRange(min = 3, max = 10) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
@@ -166,11 +168,12 @@
     }
 
     /**
-     * A VM is replaced and the clock of the new one is behind, so that its process starts with a lower incarnation than
-     * the old one had. Its peers would take all it says for old news, and no caller would be sent to it.
+     * A VM is replaced and the clock of the new one is slow, so its process starts with a lower incarnation than the old
+     * one had. If it did not raise its incarnation, its peers would ignore its updates as outdated, and no client would be
+     * sent to it.
      */
     @Property(seed = "29", tries = 15)
-    void restartWithAClockThatIsBehindIsTakenIn(
+    void processRestartedWithASlowClockIsAccepted(
             @ForAll @IntRange(min = 2, max = 10) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.start(0, Fleet.name(0), 1_000_000);
@@ -182,41 +185,41 @@
     }
 
     /**
-     * A VM is lost and the platform's list no longer has it. Waiting for its word as long as for one that may only be
-     * slow would leave its callers without an answer for longer than needed.
+     * A VM is lost and no longer on the platform's list. Waiting for it as long as for a process that may only be slow
+     * would leave its clients without an answer for longer than necessary.
      */
     @Property(seed = "30", tries = 15)
-    void suspectThatIsOffTheListIsGivenUpSooner(
+    void unlistedSuspectIsDeclaredDeadSooner(
             @ForAll @IntRange(min = 4, max = 10) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
-        long unconfirmed = timeToFirstDeath(size, seed, false);
-        long confirmed = timeToFirstDeath(size, seed, true);
-        assertThat(confirmed).isLessThan(unconfirmed);
+        long listedNanos = nanosToFirstDeath(size, seed, false);
+        long unlistedNanos = nanosToFirstDeath(size, seed, true);
+        assertThat(unlistedNanos).isLessThan(listedNanos);
     }
 
-    private static long timeToFirstDeath(int size, int seed, boolean offTheList) {
+    private static long nanosToFirstDeath(int size, int seed, boolean unlisted) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
         fleet.stop(0);
-        if (offTheList) {
-            fleet.list(fleet.nodes.keySet());
-            fleet.tellList();
+        if (unlisted) {
+            fleet.setVmList(fleet.nodes.keySet());
+            fleet.sendVmList();
         }
-        long before = fleet.wire.nowNanos();
+        long startNanos = fleet.network.nowNanos();
         fleet.run(30 * SECOND);
-        return fleet.deaths.get(0).atNanos() - before;
+        return fleet.deaths.get(0).atNanos() - startNanos;
     }
 
     /**
-     * A daemon shuts down. From then on nobody may send it new callers or cells, though it still answers; and a daemon
-     * that has been told to leave must not come back to life in any view by a late message.
+     * A daemon that shuts down must get no new clients or cells, although it still answers. A delayed message must not
+     * make it alive again in any view.
      */
     @Property(seed = "28", tries = 15)
-    void leavingReachesAllAndIsNotTakenBack(
+    void leavingStateReachesAllAndIsNotReverted(
             @ForAll @IntRange(min = 2, max = 12) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Fleet fleet = new Fleet(size, seed, SETTINGS);
         fleet.run(20 * SECOND);
-        fleet.wire.setFaults(0.05, 0.1, 50 * SimulatedNetwork.MILLISECOND);
-        fleet.tell(0, new MembershipEvent.Leave());
+        fleet.network.setFaults(0.05, 0.1, 50 * SimulatedNetwork.MILLISECOND);
+        fleet.submit(0, new MembershipEvent.Leave());
         fleet.run(15 * SECOND);
         for (int round = 0; round < 10; round++) {
             fleet.run(3 * SECOND);
@@ -224,7 +227,7 @@
                 assertThat(fleet.state(node, Fleet.name(0))).isIn(MemberState.LEAVING, MemberState.SUSPECT);
             }
         }
-        fleet.tell(0, new MembershipEvent.Shutdown());
+        fleet.submit(0, new MembershipEvent.Shutdown());
         fleet.stop(0);
         fleet.run(5 * SECOND);
         for (int node : fleet.nodes.keySet()) {
@@ -232,15 +235,16 @@
         }
     }
 
-    private static void trouble(Fleet fleet, int size, Random random, long incarnation) {
-        fleet.wire.clearFaults();
-        fleet.wire.setFaults(random.nextDouble() * 0.3, 0.1, random.nextLong(200 * SimulatedNetwork.MILLISECOND) + 1);
+    private static void injectFaults(Fleet fleet, int size, Random random, long incarnation) {
+        fleet.network.clearFaults();
+        fleet.network.setFaults(
+                random.nextDouble() * 0.3, 0.1, random.nextLong(200 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
-            fleet.wire.blockLink(random.nextInt(size), random.nextInt(size));
+            fleet.network.blockLink(random.nextInt(size), random.nextInt(size));
         }
         int node = random.nextInt(size);
         switch (random.nextInt(5)) {
-            case 0 -> fleet.wire.pause(node, random.nextLong(20 * SECOND));
+            case 0 -> fleet.network.pause(node, random.nextLong(20 * SECOND));
             case 1 -> fleet.start(node, Fleet.name(node), incarnation * 1_000);
             case 2 -> partition(fleet, size);
             case 3 -> {
@@ -248,15 +252,15 @@
                     fleet.stop(node);
                 }
             }
-            default -> fleet.wire.setFaults(0.5, 0, SECOND);
+            default -> fleet.network.setFaults(0.5, 0, SECOND);
         }
     }
 
     private static void partition(Fleet fleet, int size) {
         for (int a = 0; a < size / 2; a++) {
             for (int b = size / 2; b < size; b++) {
-                fleet.wire.blockLink(a, b);
-                fleet.wire.blockLink(b, a);
+                fleet.network.blockLink(a, b);
+                fleet.network.blockLink(b, a);
             }
         }
     }
@@ -273,7 +277,7 @@
         List<String> owners = new ArrayList<>();
         for (Membership each : fleet.nodes.values()) {
             StringBuilder all = new StringBuilder();
-            Ownership ownership = new Ownership(each.members(), 0, fleet.wire.nowNanos());
+            Ownership ownership = new Ownership(each.members(), 0, fleet.network.nowNanos());
             for (int i = 0; i < 20; i++) {
                 all.append(ownership
                         .owner(new CellId("llm", "muscat", i))
