--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/CollectorPlan.java
@@ -12,37 +12,38 @@
 import org.dotterelcourse.coordination.ownership.Rendezvous;
 
 /**
- * Which process gathers whose reports, and which processes read what is published on behalf of the others and pass it on.
+ * Assigns, by rendezvous hashing, which processes aggregate the reports of others (collectors), which read published
+ * data on behalf of the fleet (readers) and which forward it within their data centre (relays).
  *
- * <p>It answers the growth of a fleet: when each of n processes tells each other one, n² messages pass in each period,
- * 8,400 a second with 59 processes that speak each 0.4 s. So above a size, the processes of each
- * data centre report to one collector among them; collectors tell each other their sums, and their reporters everything.
- * Nothing is elected: each process works the plan out from the members that it knows, by rendezvous hashing, so that
- * processes with the same view agree and one that is lost is replaced by the next in the order. Where views differ for a
- * while, a report may reach a process that isn't a collector by its own view; it answers all the same.
+ * <p>Without collectors, n processes that report to one another send n² messages a period: 8,400 a second with 59
+ * processes and a period of 0.4 s. Above a certain size of the fleet, the processes of each data centre therefore report
+ * to a collector in it; collectors exchange their sums, and each sends the fleet's sums to its reporters. There is no
+ * election: each process computes the plan from its membership view, so processes with the same view agree, and a lost
+ * process is replaced by the next in the order. While views differ, a report may reach a process that is not a collector
+ * in its own view; that process must answer it all the same.
  */
 public final class CollectorPlan {
     /**
-     * Up to this many processes each tells all others directly: one hop in place of three, and no more than
-     * 11 messages a process and period.
+     * Largest fleet in which each process reports to all others directly. This takes one hop instead of three, and at
+     * most 11 messages a process and period.
      */
-    public static final int MOST_DIRECT = 12;
+    public static final int MAX_DIRECT_PROCESSES = 12;
 
     /**
-     * Reporters of one collector. At ten reports a second each, with as many answers, this is 640 messages a second, a
-     * twentieth of a core at the 75 µs that a message between daemons took.
+     * Number of processes for each collector. At ten reports a second each and as many answers, a collector handles 640
+     * messages a second, a twentieth of a core at 75 µs for each message between daemons.
      */
-    static final int MOST_REPORTERS = 32;
+    static final int PROCESSES_PER_COLLECTOR = 32;
 
-    private static final int MOST_READERS = 2;
-    private static final String GATHERS = "gathers";
-    private static final String READS = "reads";
+    private static final int MAX_READERS = 2;
+    private static final String COLLECTOR_KEY = "gathers";
+    private static final String READER_KEY = "reads";
 
     private final String self;
     private final int size;
     private final Map<String, List<String>> collectorsByDataCentre = new TreeMap<>();
-    private final Map<String, List<String>> orderByDataCentre = new TreeMap<>();
-    private final Map<String, String> relays = new TreeMap<>();
+    private final Map<String, List<String>> collectorOrderByDataCentre = new TreeMap<>();
+    private final Map<String, String> relaysByDataCentre = new TreeMap<>();
     private final List<String> readerCandidates;
     private final String dataCentre;
 
@@ -50,38 +51,39 @@
         this.self = self;
         this.size = members.size();
         this.dataCentre = dataCentreOf(self, members);
-        Map<String, List<String>> names = new TreeMap<>();
+        Map<String, List<String>> namesByDataCentre = new TreeMap<>();
         for (Member member : members) {
-            names.computeIfAbsent(member.payload().dataCentre(), each -> new ArrayList<>())
+            namesByDataCentre
+                    .computeIfAbsent(member.payload().dataCentre(), key -> new ArrayList<>())
                     .add(member.name());
         }
-        names.forEach(this::plan);
+        namesByDataCentre.forEach(this::planDataCentre);
         readerCandidates = readerCandidates(members);
     }
 
-    /** The relays come first, so that the first two stand in two data centres. */
+    /** Puts the relays first, so that the first two candidates are in different data centres. */
     private List<String> readerCandidates(List<Member> members) {
-        List<String> order = new ArrayList<>(Rendezvous.order(READS, relays.values()));
+        List<String> order = new ArrayList<>(Rendezvous.order(READER_KEY, relaysByDataCentre.values()));
         List<String> others = members.stream()
                 .map(Member::name)
-                .filter(name -> !relays.containsValue(name))
+                .filter(name -> !relaysByDataCentre.containsValue(name))
                 .toList();
-        order.addAll(Rendezvous.order(READS, others));
+        order.addAll(Rendezvous.order(READER_KEY, others));
         return List.copyOf(order);
     }
 
     /**
-     * Works the plan out.
+     * Computes the plan of a process.
      *
      * @param self the name of this process
-     * @param view all members that it knows, itself included
+     * @param view its membership view, itself included; other members count only while they are alive
      * @return the plan
      */
     public static CollectorPlan of(String self, List<Member> view) {
-        List<Member> usable = view.stream()
+        List<Member> eligible = view.stream()
                 .filter(member -> member.name().equals(self) || member.state() == MemberState.ALIVE)
                 .toList();
-        return new CollectorPlan(self, usable);
+        return new CollectorPlan(self, eligible);
     }
 
     private static String dataCentreOf(String self, List<Member> members) {
@@ -92,27 +94,29 @@
                 .orElse("");
     }
 
-    private void plan(String place, List<String> names) {
-        List<String> order = Rendezvous.order(GATHERS + place, names);
-        int collectors = (names.size() + MOST_REPORTERS - 1) / MOST_REPORTERS;
-        orderByDataCentre.put(place, order);
-        collectorsByDataCentre.put(place, List.copyOf(order.subList(0, collectors)));
-        relays.put(place, Rendezvous.order(READS + place, names).get(0));
+    private void planDataCentre(String plannedDataCentre, List<String> names) {
+        List<String> order = Rendezvous.order(COLLECTOR_KEY + plannedDataCentre, names);
+        int collectors = (names.size() + PROCESSES_PER_COLLECTOR - 1) / PROCESSES_PER_COLLECTOR;
+        collectorOrderByDataCentre.put(plannedDataCentre, order);
+        collectorsByDataCentre.put(plannedDataCentre, List.copyOf(order.subList(0, collectors)));
+        relaysByDataCentre.put(
+                plannedDataCentre,
+                Rendezvous.order(READER_KEY + plannedDataCentre, names).get(0));
     }
 
     /**
-     * Whether the fleet is small enough for each process to tell all others directly.
+     * Returns whether the fleet is small enough for each process to report to all others directly.
      *
-     * @return true up to {@link #MOST_DIRECT} processes
+     * @return true up to {@link #MAX_DIRECT_PROCESSES} processes
      */
     public boolean isDirect() {
-        return size <= MOST_DIRECT;
+        return size <= MAX_DIRECT_PROCESSES;
     }
 
     /**
-     * Whether this process gathers reports.
+     * Returns whether this process is a collector.
      *
-     * @return false in a small fleet
+     * @return true if it aggregates reports; always false if {@link #isDirect()}
      */
     public boolean isCollector() {
         return !isDirect()
@@ -120,9 +124,9 @@
     }
 
     /**
-     * The collectors besides this process.
+     * Returns the collectors other than this process.
      *
-     * @return names, of all data centres; empty in a small fleet
+     * @return names of the collectors in all data centres; empty if {@link #isDirect()}
      */
     public List<String> otherCollectors() {
         if (isDirect()) {
@@ -130,64 +134,65 @@
         }
         return collectorsByDataCentre.values().stream()
                 .flatMap(List::stream)
-                .filter(each -> !each.equals(self))
+                .filter(name -> !name.equals(self))
                 .toList();
     }
 
     /**
-     * The collector that this process reports to: one of its data centre, by its own name, or the next in the order if
-     * that one is to be avoided.
+     * Returns the collector that this process reports to. The collectors of its data centre are candidates in rendezvous
+     * order for the name of this process, followed by the other processes of the data centre.
      *
-     * @param avoided names of collectors that were silent lately
-     * @return empty if this process is a collector itself or there is nobody to report to
+     * @param excluded names of collectors that did not answer recently
+     * @return the first candidate that is not excluded; empty if there is none, if this process is a collector, or if
+     *     {@link #isDirect()}
      */
-    public Optional<String> collector(Set<String> avoided) {
+    public Optional<String> collector(Set<String> excluded) {
         if (isDirect() || isCollector()) {
             return Optional.empty();
         }
         List<String> collectors = collectorsByDataCentre.getOrDefault(dataCentre, List.of());
-        List<String> wanted = new ArrayList<>(Rendezvous.order(self, collectors));
-        orderByDataCentre.getOrDefault(dataCentre, List.of()).stream()
-                .filter(each -> !wanted.contains(each) && !each.equals(self))
-                .forEach(wanted::add);
-        return wanted.stream().filter(each -> !avoided.contains(each)).findFirst();
+        List<String> candidates = new ArrayList<>(Rendezvous.order(self, collectors));
+        collectorOrderByDataCentre.getOrDefault(dataCentre, List.of()).stream()
+                .filter(name -> !candidates.contains(name) && !name.equals(self))
+                .forEach(candidates::add);
+        return candidates.stream().filter(name -> !excluded.contains(name)).findFirst();
     }
 
     /**
-     * The order in which processes come into question to read what is published on behalf of the others.
+     * Returns the candidates for reading published data on behalf of the fleet, in order of preference.
      *
-     * @return the names of all, the first of each data centre before the rest
+     * @return names of all eligible processes, with the relay of each data centre before all others
      */
     public List<String> readerCandidates() {
         return readerCandidates;
     }
 
     /**
-     * How many processes are to read on behalf of the others: a second one, in another data centre, so that the loss of
-     * a VM or a data centre delays nothing.
+     * Returns how many processes read published data on behalf of the fleet. There is a second reader in another data
+     * centre, so that the loss of a VM or a data centre causes no delay.
      *
-     * @return 1 if there is one data centre only
+     * @return 2, or 1 if there is only one data centre
      */
     public int readerCount() {
-        return Math.min(MOST_READERS, Math.max(1, relays.size()));
+        return Math.min(MAX_READERS, Math.max(1, relaysByDataCentre.size()));
     }
 
     /**
-     * Whether this process passes what others have read on to its data centre.
+     * Returns whether this process forwards data read by other processes within its data centre.
      *
-     * @return true for one process of each data centre
+     * @return true for exactly one process of each data centre
      */
     public boolean isRelay() {
-        return self.equals(relays.get(dataCentre));
+        return self.equals(relaysByDataCentre.get(dataCentre));
     }
 
     /**
-     * The processes that pass on what this one has read.
+     * Returns the relays that forward data read by this process.
      *
-     * @return one of each other data centre
+     * @return names of the relays, one for each other data centre
      */
     public List<String> otherRelays() {
-        return relays.entrySet().stream()
+        return relaysByDataCentre.entrySet().stream()
                 .filter(relay -> !relay.getKey().equals(dataCentre))
                 .map(Map.Entry::getValue)
                 .toList();
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/collect/package-info.java
@@ -1,2 +1,2 @@
-/** Which processes of a fleet gather reports for others, so that messages don't grow with the square of the fleet. */
+/** Selects the processes that aggregate reports, so that traffic does not grow with the square of the fleet's size. */
 package org.dotterelcourse.coordination.collect;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void aSmallFleetHasNoCollectors() {
-        List<Member> view = fleet(CollectorPlan.MOST_DIRECT);
+        List<Member> view = fleet(CollectorPlan.MAX_DIRECT_PROCESSES);
         CollectorPlan plan = CollectorPlan.of("vm-0", view);
         assertThat(plan.isDirect()).isTrue();
         assertThat(plan.isCollector()).isFalse();
@@ -33,8 +33,8 @@
         assertThat(plan.collector(Set.of())).isEmpty();
     }
 
-    // If a report reached nobody, the load of its process would be missing in everybody's sums; if it reached two
-    // collectors, it would count twice.
+    // If a report reached no collector, the load of its process would be missing from all sums. If it reached two, it
+    // would count twice.
     @Property(tries = 100, seed = "7")
     void everyReportReachesOneCollectorOfItsDataCentre(@ForAll @IntRange(min = 13, max = 400) int size) {
         List<Member> view = fleet(size);
@@ -57,14 +57,14 @@
             List<String> others = CollectorPlan.of(collector, view).otherCollectors();
             assertThat(others).hasSize(collectors.size() - 1).doesNotContain(collector);
         }
-        assertThat(reporters.values()).allMatch(count -> count <= 2 * CollectorPlan.MOST_REPORTERS);
+        assertThat(reporters.values()).allMatch(count -> count <= 2 * CollectorPlan.PROCESSES_PER_COLLECTOR);
     }
 
-    // A data centre is lost with the process that reads for the others. The second one must stand elsewhere, or
-    // everybody
-    // has to notice the loss before anybody reads.
+    // A data centre is lost together with one reader. If the second reader were in the same data centre, no process
+    // would read until the others have detected the loss.
     @Property(tries = 100, seed = "7")
-    void allAgreeOnAnOrderOfReadersWhoseFirstTwoStandInTwoDataCentres(@ForAll @IntRange(min = 3, max = 200) int size) {
+    void allProcessesAgreeOnReadersAndTheFirstTwoAreInDifferentDataCentres(
+            @ForAll @IntRange(min = 3, max = 200) int size) {
         List<Member> view = fleet(size);
         List<String> order = CollectorPlan.of("vm-0", view).readerCandidates();
         assertThat(order)
@@ -85,10 +85,10 @@
         assertThat(CollectorPlan.of("vm-0", view).readerCount()).isEqualTo(1);
     }
 
-    // What a reader has read goes to one process of each other data centre, and from there on. If two passed it on, or
-    // none, a data centre would get everything twice or stay behind.
+    // A reader sends the data to one relay in each other data centre, which forwards it. With two relays a data centre
+    // would get all data twice, and with none it would not be updated.
     @Property(tries = 100, seed = "7")
-    void oneProcessOfEachDataCentrePassesOnWhatOthersHaveRead(@ForAll @IntRange(min = 3, max = 200) int size) {
+    void eachDataCentreHasExactlyOneRelay(@ForAll @IntRange(min = 3, max = 200) int size) {
         List<Member> view = fleet(size);
         List<String> relays = view.stream()
                 .map(Member::name)
@@ -106,7 +106,8 @@
         }
     }
 
-    // A collector is killed. Nobody has noticed but those that report to it, and their reports must reach somebody.
+    // A collector is killed. Until the membership detects it, only its reporters get no answers, and their reports must
+    // reach another process.
     @Test
     void aSilentCollectorIsReplacedByAnotherProcess() {
         List<Member> view = fleet(30);
@@ -122,10 +123,10 @@
         assertThat(dataCentre(second, view)).isEqualTo(dataCentre(first, view));
     }
 
-    // A process that gathers nothing leaves the fleet. All others keep their collector, or the sums of all would be
+    // A process that is no collector is lost. If other processes changed their collector, the sums of all would be
     // wrong for a second.
     @Test
-    void aProcessThatIsLostMovesNobodyElsesReports() {
+    void lossOfAReporterChangesNoOtherCollectorAssignment() {
         List<Member> view = fleet(120);
         for (Member lost : view) {
             if (CollectorPlan.of(lost.name(), view).isCollector()) {
@@ -141,11 +142,11 @@
     }
 
     @Test
-    void aProcessThatLeavesOrIsSuspectedGathersNothing() {
+    void leavingSuspectAndDeadMembersAreNotEligible() {
         List<Member> view = fleet(30);
         for (MemberState state : List.of(MemberState.LEAVING, MemberState.SUSPECT, MemberState.DEAD)) {
             List<Member> changed =
-                    view.stream().map(member -> stated(member, state)).toList();
+                    view.stream().map(member -> withState(member, state)).toList();
             CollectorPlan plan = CollectorPlan.of("vm-0", changed);
             assertThat(plan.isDirect()).isTrue();
             assertThat(plan.readerCandidates()).containsExactly("vm-0");
@@ -153,7 +154,7 @@
         }
     }
 
-    private static Member stated(Member member, MemberState state) {
+    private static Member withState(Member member, MemberState state) {
         return new Member(member.id(), member.address(), state, member.payload(), 0, 0);
     }
 
