--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/CellId.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/CellId.java
@@ -1,18 +1,18 @@
 package org.dotterelcourse.coordination.ownership;
 
 /**
- * Names a cell.
+ * Identifies a cell.
  *
  * @param upstream the upstream's name
- * @param region the region of its workers
- * @param index the cell's number in that upstream and region, from 0
+ * @param region the region of the cell's workers
+ * @param index the cell's index within the upstream and region, from 0
  */
 public record CellId(String upstream, String region, int index) {
 
     /**
-     * The cell's key for hashing and on the wire.
+     * Returns the key that identifies the cell in hashing and in messages.
      *
-     * @return upstream, region and index with slashes between
+     * @return upstream, region and index, separated by slashes
      */
     public String key() {
         return upstream + "/" + region + "/" + index;
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Cells.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Cells.java
@@ -10,41 +10,41 @@
 import java.util.TreeSet;
 
 /**
- * Cuts an upstream's workers of one region into cells. One owner must be able to hold all of a cell's queue and grants,
- * so a cell is bounded; and a worker that comes or goes must not shuffle the others, since each move closes a grant
- * book in one place and opens it in another. Each worker goes to the cell with its highest rendezvous weight that has
- * room, and a full cell keeps those with the highest weights (deferred acceptance, Gale and Shapley 1962), whose result
- * does not depend on the order of the workers.
+ * Partitions an upstream's workers of one region into cells. The size of a cell is bounded, as one owner has to hold its
+ * whole queue and all its grants. Adding or removing a worker must move few others, because each move closes a worker's
+ * grants at one owner and opens them at another. Each worker prefers the cells in order of its rendezvous weights, and a
+ * full cell keeps the workers with the highest weights (deferred acceptance, Gale and Shapley, 1962); the result does not
+ * depend on the order of the workers.
  */
 public final class Cells {
 
-    /** Most workers of a cell. */
+    /** Maximum number of workers in a cell. */
     public static final int MAX_WORKERS = 64;
 
-    /** Mean fill beyond one cell: leaves room so that few workers miss their first choice. */
+    /** Mean number of workers in a cell if there are several. The spare capacity lets most get their preferred cell. */
     private static final int MEAN_WORKERS = 56;
 
     private Cells() {}
 
     /**
-     * Cuts workers into cells.
+     * Partitions workers into cells.
      *
      * @param upstream the upstream's name
      * @param region the region of the workers
-     * @param workers their names
-     * @return cells in order of their index, none of them above {@link #MAX_WORKERS}; a cell may be empty
+     * @param workers names of the workers
+     * @return the cells by index, each with at most {@link #MAX_WORKERS} workers; a cell may be empty
      */
     public static List<Cell> partition(String upstream, String region, Collection<String> workers) {
         List<CellId> ids = new ArrayList<>();
         for (int i = 0; i < count(workers.size()); i++) {
             ids.add(new CellId(upstream, region, i));
         }
-        List<TreeSet<Placed>> filled = fill(ids, new TreeSet<>(workers));
+        List<TreeSet<Assignment>> assigned = assign(ids, new TreeSet<>(workers));
         List<Cell> cells = new ArrayList<>();
         for (int i = 0; i < ids.size(); i++) {
             TreeSet<String> names = new TreeSet<>();
-            for (Placed placed : filled.get(i)) {
-                names.add(placed.worker);
+            for (Assignment assignment : assigned.get(i)) {
+                names.add(assignment.worker);
             }
             cells.add(new Cell(ids.get(i), List.copyOf(names)));
         }
@@ -52,7 +52,7 @@
     }
 
     /**
-     * How many cells a number of workers makes.
+     * Returns the number of cells for a number of workers.
      *
      * @param workers the number of workers
      * @return the number of cells, 0 for no workers
@@ -64,27 +64,28 @@
         return workers <= MAX_WORKERS ? 1 : (workers + MEAN_WORKERS - 1) / MEAN_WORKERS;
     }
 
-    private static List<TreeSet<Placed>> fill(List<CellId> ids, Collection<String> workers) {
-        List<TreeSet<Placed>> cells = new ArrayList<>();
+    private static List<TreeSet<Assignment>> assign(List<CellId> ids, Collection<String> workers) {
+        List<TreeSet<Assignment>> cells = new ArrayList<>();
         for (int i = 0; i < ids.size(); i++) {
             cells.add(new TreeSet<>());
         }
-        Map<String, Deque<Integer>> choices = new HashMap<>();
-        Deque<String> waiting = new ArrayDeque<>(workers);
-        while (!waiting.isEmpty()) {
-            String worker = waiting.removeFirst();
-            int choice =
-                    choices.computeIfAbsent(worker, name -> choices(ids, name)).removeFirst();
-            TreeSet<Placed> cell = cells.get(choice);
-            cell.add(new Placed(worker, Rendezvous.weight(ids.get(choice).key(), worker)));
+        Map<String, Deque<Integer>> preferences = new HashMap<>();
+        Deque<String> unassigned = new ArrayDeque<>(workers);
+        while (!unassigned.isEmpty()) {
+            String worker = unassigned.removeFirst();
+            int preferred = preferences
+                    .computeIfAbsent(worker, name -> preferences(ids, name))
+                    .removeFirst();
+            TreeSet<Assignment> cell = cells.get(preferred);
+            cell.add(new Assignment(worker, Rendezvous.weight(ids.get(preferred).key(), worker)));
             if (cell.size() > MAX_WORKERS) {
-                waiting.addLast(cell.pollFirst().worker);
+                unassigned.addLast(cell.pollFirst().worker);
             }
         }
         return cells;
     }
 
-    private static Deque<Integer> choices(List<CellId> ids, String worker) {
+    private static Deque<Integer> preferences(List<CellId> ids, String worker) {
         List<Integer> indexes = new ArrayList<>();
         for (int i = 0; i < ids.size(); i++) {
             indexes.add(i);
@@ -95,10 +96,10 @@
         return new ArrayDeque<>(indexes);
     }
 
-    /** A worker in a cell, ordered by weight. */
-    private record Placed(String worker, long weight) implements Comparable<Placed> {
+    /** The assignment of a worker to a cell, ordered by rendezvous weight. */
+    private record Assignment(String worker, long weight) implements Comparable<Assignment> {
         @Override
-        public int compareTo(Placed other) {
+        public int compareTo(Assignment other) {
             int byWeight = Long.compareUnsigned(weight, other.weight);
             return byWeight != 0 ? byWeight : worker.compareTo(other.worker);
         }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Ownership.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/Ownership.java
@@ -12,116 +12,119 @@
 import org.dotterelcourse.coordination.membership.MemberState;
 
 /**
- * Who is responsible for what, by one view of the fleet. A member that is leaving has nothing; one that has only just
- * become a suspect keeps what it has, since most suspicions are refuted and each change of owner costs its cell a
- * settle time. Two processes with the same view agree; two with different views may name two owners for a while, and
- * what is granted must bear that.
+ * Assigns cells, customers and other responsibilities to members by rendezvous hashing over one membership view. A
+ * leaving member owns nothing. A suspect keeps its assignments for a grace period, because most suspicions are refuted
+ * and each change of owner costs its cell a settle time. Processes with the same view agree. While views differ, two
+ * members may act as owner at the same time, which the protocols for grants have to tolerate.
  */
 public final class Ownership {
 
-    private static final String CELL = "cell/";
-    private static final String CUSTOMER = "customer/";
-    private static final String READER = "reader/";
-    private static final String ADDRESS = "address/";
+    private static final String CELL_KEY = "cell/";
+    private static final String CUSTOMER_KEY = "customer/";
+    private static final String READER_KEY = "reader/";
+    private static final String ADDRESS_KEY = "address/";
 
-    private final List<Member> responsible = new ArrayList<>();
+    private final List<Member> eligibleOwners = new ArrayList<>();
     private final List<Member> alive = new ArrayList<>();
 
     /**
-     * Takes a view.
+     * Creates the assignment for a membership view.
      *
      * @param members the view, this process included
-     * @param suspectGraceNanos how long a suspect keeps what it has; a second or two
-     * @param nowNanos the present time on the clock of the view
+     * @param suspectGraceNanos how long a suspect keeps its assignments, in nanoseconds; typically one or two seconds
+     * @param nowNanos current monotonic time in nanoseconds, on the clock of {@link Member#sinceNanos()}
      */
     public Ownership(Collection<Member> members, long suspectGraceNanos, long nowNanos) {
         for (Member member : members) {
-            boolean fresh = nowNanos - member.sinceNanos() <= suspectGraceNanos;
+            boolean withinGrace = nowNanos - member.sinceNanos() <= suspectGraceNanos;
             if (member.state() == MemberState.ALIVE) {
                 alive.add(member);
-                responsible.add(member);
-            } else if (member.state() == MemberState.SUSPECT && fresh) {
-                responsible.add(member);
+                eligibleOwners.add(member);
+            } else if (member.state() == MemberState.SUSPECT && withinGrace) {
+                eligibleOwners.add(member);
             }
         }
     }
 
     /**
-     * The owner of a cell, in the cell's region if anyone is there.
+     * Returns the owner of a cell, a member in the cell's region if there is an eligible one.
      *
      * @param cell the cell
-     * @return the owner, empty when nobody is alive
+     * @return the owner; empty if no member is eligible
      */
     public Optional<Member> owner(CellId cell) {
-        return first(CELL + cell.key(), cell.region());
+        return ownerOf(CELL_KEY + cell.key(), cell.region());
     }
 
     /**
-     * The daemon that keeps a customer's limits.
+     * Returns the member that enforces a customer's limits, one in the customer's region if there is an eligible one.
      *
      * @param customer the customer's name
      * @param region the customer's region
-     * @return the daemon, empty when nobody is alive
+     * @return the member; empty if no member is eligible
      */
     public Optional<Member> customerOwner(String customer, String region) {
-        return first(CUSTOMER + customer, region);
+        return ownerOf(CUSTOMER_KEY + customer, region);
     }
 
     /**
-     * The daemons of a data centre that watch the configuration service.
+     * Returns the members of a data centre that watch the configuration service.
      *
      * @param dataCentre the data centre
-     * @param count how many
-     * @return up to that many, all alive
+     * @param count the maximum number of members
+     * @return at most {@code count} live members, in order of preference
      */
     public List<Member> readers(String dataCentre, int count) {
-        List<Member> order = order(READER + dataCentre, alive, inDataCentre(dataCentre));
+        List<Member> order = order(READER_KEY + dataCentre, alive, inDataCentre(dataCentre));
         return order.subList(0, Math.min(count, order.size()));
     }
 
     /**
-     * The daemons that a customer is to use: those of its data centre first, and where there is another data centre at
-     * least one of that, so that a caller who keeps the answer is not lost with its data centre. Members that are
-     * leaving or suspect are left out: new connections to them would be cut off or hang.
+     * Returns the members that a customer should connect to. Members of the given data centre come first. If there are
+     * others, at least one is included when {@code count} is 2 or more, so that a client that caches the result survives
+     * the loss of the data centre. Leaving and suspect members are excluded, because new connections to them would be
+     * closed or hang.
      *
      * @param customer the customer's name
-     * @param dataCentre the data centre that it asked in
+     * @param dataCentre the data centre in which the customer made the request
      * @param region the region of that data centre
-     * @param count how many addresses
-     * @return up to that many, all alive, the same as long as they are alive
+     * @param count the maximum number of members
+     * @return at most {@code count} live members; the same ones while they stay alive
      */
     public List<Member> preferredMembers(String customer, String dataCentre, String region, int count) {
-        String key = ADDRESS + customer;
-        Predicate<Member> near = inDataCentre(dataCentre);
-        List<Member> own = order(key, alive, near);
-        List<Member> other = order(key, alive, near.negate().and(inRegion(region)));
-        other.addAll(order(key, alive, near.negate().and(inRegion(region).negate())));
-        int spare = other.isEmpty() || count < 2 ? 0 : 1;
-        List<Member> chosen = new ArrayList<>(own.subList(0, Math.min(count - spare, own.size())));
-        for (Member member : other) {
-            if (chosen.size() < count) {
-                chosen.add(member);
+        String key = ADDRESS_KEY + customer;
+        Predicate<Member> local = inDataCentre(dataCentre);
+        List<Member> localMembers = order(key, alive, local);
+        List<Member> remoteMembers = order(key, alive, local.negate().and(inRegion(region)));
+        remoteMembers.addAll(
+                order(key, alive, local.negate().and(inRegion(region).negate())));
+        int reserved = remoteMembers.isEmpty() || count < 2 ? 0 : 1;
+        List<Member> selected =
+                new ArrayList<>(localMembers.subList(0, Math.min(count - reserved, localMembers.size())));
+        for (Member member : remoteMembers) {
+            if (selected.size() < count) {
+                selected.add(member);
             }
         }
-        return chosen;
+        return selected;
     }
 
-    private Optional<Member> first(String key, String region) {
-        Member best = best(key, inRegion(region));
-        return Optional.ofNullable(best == null ? best(key, member -> true) : best);
+    private Optional<Member> ownerOf(String key, String region) {
+        Member regional = highestWeighted(key, inRegion(region));
+        return Optional.ofNullable(regional == null ? highestWeighted(key, member -> true) : regional);
     }
 
-    private Member best(String key, Predicate<Member> condition) {
+    private Member highestWeighted(String key, Predicate<Member> condition) {
         Member best = null;
-        long highest = 0;
-        for (Member member : responsible) {
+        long highestWeight = 0;
+        for (Member member : eligibleOwners) {
             if (!condition.test(member)) {
                 continue;
             }
             long weight = Rendezvous.weight(key, member.name());
-            if (best == null || Long.compareUnsigned(weight, highest) > 0) {
+            if (best == null || Long.compareUnsigned(weight, highestWeight) > 0) {
                 best = member;
-                highest = weight;
+                highestWeight = weight;
             }
         }
         return best;
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ownership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who is responsible for what, as pure functions of published facts and the membership view: rendezvous hashing
- * (Thaler and Ravishankar, 1998), so that two processes with the same view agree without talking.
+ * Assigns owners by rendezvous hashing (Thaler and Ravishankar, 1998). The assignments are pure functions of published
+ * data and the membership view, so processes with the same view agree without exchanging messages.
  */
 package org.dotterelcourse.coordination.ownership;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ownership/OwnershipPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ownership/OwnershipPropertyTest.java
@@ -27,7 +27,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     @Property(seed = "11", tries = 100)
-    void ownersDependOnTheViewAloneNotOnItsOrder(@ForAll @IntRange(min = 1, max = 40) int size, @ForAll int seed) {
+    void ownersDoNotDependOnTheOrderOfTheView(@ForAll @IntRange(min = 1, max = 40) int size, @ForAll int seed) {
         List<Member> members = fleet(size);
         List<Member> shuffled = new ArrayList<>(members);
         Collections.shuffle(shuffled, new Random(seed));
@@ -35,11 +35,11 @@
     }
 
     /**
-     * A daemon is lost. Its cells get a new owner; if others changed owner too, requests that wait there would be put
-     * back as well, for nothing.
+     * When a daemon is lost, its cells get a new owner. If other cells changed owner too, requests queued there would be
+     * queued again without need.
      */
     @Property(seed = "12", tries = 100)
-    void onlyCellsOfALostMemberMove(
+    void onlyCellsOfALostMemberChangeOwner(
             @ForAll @IntRange(min = 2, max = 40) int size, @ForAll @IntRange(max = 39) int index) {
         List<Member> members = fleet(size);
         Member lost = members.get(index % size);
@@ -54,8 +54,8 @@
     }
 
     /**
-     * A daemon shuts down, or has not answered for a while, while its name is still in the view. A request that went
-     * to it for a grant would wait for nothing.
+     * A daemon that is shutting down, or has not answered for a while, is still in the view. If it owned cells, requests
+     * for its grants would wait in vain.
      */
     @Property(seed = "13", tries = 50)
     void leavingAndLongSuspectMembersOwnNothing(@ForAll @IntRange(min = 3, max = 30) int size) {
@@ -86,21 +86,21 @@
     }
 
     @Property(seed = "15", tries = 100)
-    void addressesBeginInTheOwnDataCentreAndReachAnother(
+    void preferredMembersStartInTheOwnDataCentreAndIncludeAnother(
             @ForAll @IntRange(min = 6, max = 30) int size, @ForAll @IntRange(min = 2, max = 5) int count) {
         List<Member> members = fleet(size);
         members.set(0, inState(members.get(0), MemberState.SUSPECT, 10 * SECOND));
         members.set(1, inState(members.get(1), MemberState.LEAVING, 0));
-        List<Member> addresses =
+        List<Member> preferred =
                 new Ownership(members, SECOND, 10 * SECOND).preferredMembers("bank", "dc-2", "r-0", count);
-        assertThat(addresses).hasSize(Math.min(count, size - 2)).doesNotContain(members.get(0), members.get(1));
-        assertThat(addresses.get(0).payload().dataCentre()).isEqualTo("dc-2");
-        assertThat(addresses)
+        assertThat(preferred).hasSize(Math.min(count, size - 2)).doesNotContain(members.get(0), members.get(1));
+        assertThat(preferred.get(0).payload().dataCentre()).isEqualTo("dc-2");
+        assertThat(preferred)
                 .anySatisfy(member -> assertThat(member.payload().dataCentre()).isNotEqualTo("dc-2"));
     }
 
     @Property(seed = "16", tries = 60)
-    void cellsHoldEachWorkerOnceAndStayWithinTheBound(@ForAll @IntRange(max = 700) int size) {
+    void cellsContainEachWorkerOnceAndStayWithinTheirMaximumSize(@ForAll @IntRange(max = 700) int size) {
         Set<String> seen = new HashSet<>();
         for (Cell cell : Cells.partition("llm", "muscat", workers(size))) {
             assertThat(cell.workers()).hasSizeLessThanOrEqualTo(Cells.MAX_WORKERS);
@@ -110,11 +110,11 @@
     }
 
     /**
-     * A worker is replaced. If the cut were drawn anew, workers with requests on them would change their queue, and
-     * their grants would be taken back from owners that had done nothing wrong.
+     * A worker is replaced. If the whole partition changed, busy workers would move to another queue, and grants would be
+     * revoked from healthy owners.
      */
     @Property(seed = "17", tries = 60)
-    void fewWorkersChangeTheirCellWhenOneGoes(
+    void fewWorkersChangeTheirCellWhenOneIsRemoved(
             @ForAll @IntRange(min = 2, max = 600) int size, @ForAll @IntRange(max = 599) int index) {
         List<String> workers = workers(size);
         Map<String, CellId> before = cellOf(workers);
@@ -173,7 +173,7 @@
         return changed;
     }
 
-    private static Member inState(Member member, MemberState state, long since) {
-        return new Member(member.id(), member.address(), state, member.payload(), 0, since);
+    private static Member inState(Member member, MemberState state, long sinceNanos) {
+        return new Member(member.id(), member.address(), state, member.payload(), 0, sinceNanos);
     }
 }
