--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/Shuffles.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/Shuffles.java
@@ -4,15 +4,18 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Shuffles lists with any generator; the JDK's own shuffle wants a {@code java.util.Random} up to Java 21. */
+/**
+ * Shuffles lists with any {@link RandomGenerator}. Up to Java 21, {@link Collections#shuffle} accepts only a
+ * {@code java.util.Random}.
+ */
 public final class Shuffles {
 
     private Shuffles() {}
 
     /**
-     * Puts a list into random order, each order being equally likely (Fisher and Yates).
+     * Permutes a list uniformly at random (Fisher-Yates shuffle).
      *
-     * @param list changed in place
+     * @param list the list to permute in place
      * @param random the source of randomness
      */
     public static void shuffle(List<?> list, RandomGenerator random) {
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Coordination parts that can be embedded without the rest of the project. Each part is a state machine that takes
- * events with their time and returns effects; it opens no connection and reads no clock.
+ * Coordination components that can be embedded without the rest of the project. Each component is a state machine that
+ * takes events with their times and returns effects; it performs no I/O and reads no clock.
  */
 package org.dotterelcourse.coordination;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/OwnerExampleTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/OwnerExampleTest.java
@@ -8,7 +8,7 @@
 class OwnerExampleTest {
 
     @Test
-    void exampleRunsToItsEnd() {
+    void exampleCompletesWithoutAnException() {
         assertThatCode(() -> OwnerExample.main(new String[0])).doesNotThrowAnyException();
     }
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/SimulatedNetwork.java
@@ -11,10 +11,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * Carries messages between state machines in memory, with loss, delay, reordering, duplication and cuts, on a clock of
- * its own. A paused node's messages wait, as they do in the buffers of a stopped process.
+ * Simulates a network between state machines, with message loss, delay, reordering, duplication and blocked links, on a
+ * simulated clock. Messages to a paused node are delivered when the pause ends, like those in the socket buffers of a
+ * stopped process.
  *
- * @param <M> the messages
+ * @param <M> type of the messages
  */
 public final class SimulatedNetwork<M> {
 
@@ -26,182 +27,184 @@
     private static final int FIRST_PORT = 1_000;
 
     private final Random random;
-    private final PriorityQueue<Flight<M>> flights = new PriorityQueue<>();
+    private final PriorityQueue<InFlightMessage<M>> inFlightMessages = new PriorityQueue<>();
     private final Map<Integer, BiConsumer<Integer, M>> handlers = new HashMap<>();
     private final Map<Integer, Long> pausedUntil = new HashMap<>();
-    private final Set<Long> cuts = new HashSet<>();
+    private final Set<Long> blockedLinks = new HashSet<>();
     private long nowNanos;
-    private long order;
-    private double loss;
-    private double duplication;
+    private long nextOrder;
+    private double lossRate;
+    private double duplicationRate;
     private long maxDelayNanos = 2 * MILLISECOND;
 
     /**
-     * A wire without disturbance.
+     * Creates a network without faults.
      *
-     * @param seed of its randomness
+     * @param seed seed of the random faults and delays
      */
     public SimulatedNetwork(long seed) {
         random = new Random(seed);
     }
 
     /**
-     * The address of a node.
+     * Returns the address of a node.
      *
-     * @param node its number
-     * @return its address
+     * @param node the node's number
+     * @return the node's address
      */
     public static InetSocketAddress address(int node) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), FIRST_PORT + node);
     }
 
     /**
-     * The node at an address.
+     * Returns the node at an address.
      *
-     * @param address the address
-     * @return its number
+     * @param address an address returned by {@link #address}
+     * @return the node's number
      */
     public static int node(InetSocketAddress address) {
         return address.getPort() - FIRST_PORT;
     }
 
     /**
-     * The time.
+     * Returns the simulated time.
      *
-     * @return nanoseconds since the start
+     * @return nanoseconds since the start of the simulation
      */
     public long nowNanos() {
         return nowNanos;
     }
 
     /**
-     * Sets who takes a node's messages.
+     * Sets the handler of a node's messages.
      *
-     * @param node the node
-     * @param handler takes the sender and the message
+     * @param node the node's number
+     * @param handler called with the sender's number and the message
      */
     public void attach(int node, BiConsumer<Integer, M> handler) {
         handlers.put(node, handler);
     }
 
     /**
-     * Loses a node's messages from now on.
+     * Removes the handler of a node; messages to the node are dropped from now on.
      *
-     * @param node the node
+     * @param node the node's number
      */
     public void detach(int node) {
         handlers.remove(node);
     }
 
     /**
-     * Sets the disturbance of all messages.
+     * Sets the fault rates and the delay of all links.
      *
-     * @param lossRate share of datagrams that are lost
-     * @param duplicationRate share of datagrams that come twice
-     * @param delayNanos longest delay
+     * @param newLossRate fraction of unreliable messages that are lost, from 0 to 1
+     * @param newDuplicationRate fraction of unreliable messages that are delivered twice, from 0 to 1
+     * @param newMaxDelayNanos maximum delay of all messages, in nanoseconds
      */
-    public void setFaults(double lossRate, double duplicationRate, long delayNanos) {
-        loss = lossRate;
-        duplication = duplicationRate;
-        maxDelayNanos = delayNanos;
+    public void setFaults(double newLossRate, double newDuplicationRate, long newMaxDelayNanos) {
+        lossRate = newLossRate;
+        duplicationRate = newDuplicationRate;
+        maxDelayNanos = newMaxDelayNanos;
     }
 
     /**
-     * Cuts one direction between two nodes.
+     * Blocks one direction of the link between two nodes.
      *
-     * @param from the sender
-     * @param to the receiver
+     * @param from the sender's number
+     * @param to the receiver's number
      */
     public void blockLink(int from, int to) {
-        cuts.add(pair(from, to));
+        blockedLinks.add(linkKey(from, to));
     }
 
     /**
-     * Ends all cuts and disturbance.
+     * Unblocks all links and removes all faults.
      */
     public void clearFaults() {
-        cuts.clear();
+        blockedLinks.clear();
         setFaults(0, 0, 2 * MILLISECOND);
     }
 
     /**
-     * Holds a node's messages back for a while.
+     * Pauses a node: its messages are delivered when the pause ends.
      *
-     * @param node the node
-     * @param nanos how long
+     * @param node the node's number
+     * @param nanos duration of the pause in nanoseconds
      */
     public void pause(int node, long nanos) {
         pausedUntil.put(node, nowNanos + nanos);
     }
 
     /**
-     * Whether a node is paused.
+     * Returns whether a node is paused.
      *
-     * @param node the node
-     * @return whether it is
+     * @param node the node's number
+     * @return whether its pause has not ended
      */
     public boolean isPaused(int node) {
         return pausedUntil.getOrDefault(node, 0L) > nowNanos;
     }
 
     /**
-     * Sends. A reliable message is lost only by a cut, in either direction.
+     * Sends a message. A reliable message is lost only if the link is blocked in either direction.
      *
-     * @param from the sender
-     * @param to the receiver
+     * @param from the sender's number
+     * @param to the receiver's number
      * @param message the message
-     * @param reliable whether it is sent on a stream
+     * @param reliable whether the message is sent on a stream and not as a datagram
      */
     public void send(int from, int to, M message, boolean reliable) {
-        if (cuts.contains(pair(from, to)) || reliable && cuts.contains(pair(to, from))) {
+        if (blockedLinks.contains(linkKey(from, to)) || reliable && blockedLinks.contains(linkKey(to, from))) {
             return;
         }
-        if (!reliable && random.nextDouble() < loss) {
+        if (!reliable && random.nextDouble() < lossRate) {
             return;
         }
         enqueue(from, to, message);
-        if (!reliable && random.nextDouble() < duplication) {
+        if (!reliable && random.nextDouble() < duplicationRate) {
             enqueue(from, to, message);
         }
     }
 
     /**
-     * Moves the clock, delivering what falls due.
+     * Advances the simulated clock and delivers the messages that become due.
      *
-     * @param untilNanos the new time
+     * @param untilNanos the new time, in nanoseconds since the start of the simulation
      */
     public void advanceTo(long untilNanos) {
-        while (!flights.isEmpty() && flights.peek().dueNanos <= untilNanos) {
-            Flight<M> flight = flights.poll();
-            nowNanos = Math.max(nowNanos, flight.dueNanos);
-            deliver(flight);
+        while (!inFlightMessages.isEmpty() && inFlightMessages.peek().dueNanos <= untilNanos) {
+            InFlightMessage<M> inFlight = inFlightMessages.poll();
+            nowNanos = Math.max(nowNanos, inFlight.dueNanos);
+            deliver(inFlight);
         }
         nowNanos = untilNanos;
     }
 
-    private void deliver(Flight<M> flight) {
-        if (isPaused(flight.to)) {
-            flights.add(new Flight<>(flight.from, flight.to, flight.message, pausedUntil.get(flight.to), order++));
+    private void deliver(InFlightMessage<M> inFlight) {
+        if (isPaused(inFlight.to)) {
+            inFlightMessages.add(new InFlightMessage<>(
+                    inFlight.from, inFlight.to, inFlight.message, pausedUntil.get(inFlight.to), nextOrder++));
             return;
         }
-        BiConsumer<Integer, M> handler = handlers.get(flight.to);
+        BiConsumer<Integer, M> handler = handlers.get(inFlight.to);
         if (handler != null) {
-            handler.accept(flight.from, flight.message);
+            handler.accept(inFlight.from, inFlight.message);
         }
     }
 
     private void enqueue(int from, int to, M message) {
         long due = nowNanos + 1 + (long) (random.nextDouble() * maxDelayNanos);
-        flights.add(new Flight<>(from, to, message, due, order++));
+        inFlightMessages.add(new InFlightMessage<>(from, to, message, due, nextOrder++));
     }
 
-    private static long pair(int from, int to) {
+    private static long linkKey(int from, int to) {
         return ((long) from << Integer.SIZE) | to;
     }
 
-    private record Flight<M>(int from, int to, M message, long dueNanos, long order) implements Comparable<Flight<M>> {
+    private record InFlightMessage<M>(int from, int to, M message, long dueNanos, long order)
+            implements Comparable<InFlightMessage<M>> {
         @Override
-        public int compareTo(Flight<M> other) {
+        public int compareTo(InFlightMessage<M> other) {
             int byTime = Long.compare(dueNanos, other.dueNanos);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
