--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
@@ -80,7 +80,7 @@
 
     void start(List<ListedVm> seeds) {
         transport.execute(() -> threadId = Thread.currentThread().getId());
-        membershipDriver.submit(new MembershipEvent.Listed(seeds));
+        membershipDriver.submit(new MembershipEvent.VmListReceived(seeds));
         membershipDriver.start(TICK_NANOS);
         configurationDriver.start(TICK_NANOS);
     }
@@ -161,7 +161,7 @@
     }
 
     private void membershipTold(MembershipEffect effect) {
-        if (effect instanceof MembershipEffect.Changed changed) {
+        if (effect instanceof MembershipEffect.MemberChanged changed) {
             note(changed.member());
         }
         configurationDriver.membershipChanged(effect, membership.self(), membership.members());
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/collect/CollectorPlanTest.java
@@ -25,16 +25,16 @@
 
     @Test
     void aSmallFleetHasNoCollectors() {
-        List<Member> view = fleet(CollectorPlan.MOST_DIRECT);
+        List<Member> view = fleet(CollectorPlan.MAX_DIRECT_PROCESSES);
         CollectorPlan plan = CollectorPlan.of("vm-0", view);
-        assertThat(plan.direct()).isTrue();
-        assertThat(plan.collector()).isFalse();
+        assertThat(plan.isDirect()).isTrue();
+        assertThat(plan.isCollector()).isFalse();
         assertThat(plan.otherCollectors()).isEmpty();
-        assertThat(plan.collectorOf(Set.of())).isEmpty();
+        assertThat(plan.collector(Set.of())).isEmpty();
     }
 
-    // If a report reached nobody, the load of its process would be missing in everybody's sums; if it reached two
-    // collectors, it would count twice.
+    // If a report reached no collector, the load of its process would be missing from all sums. If it reached two, it
+    // would count twice.
     @Property(tries = 100, seed = "7")
     void everyReportReachesOneCollectorOfItsDataCentre(@ForAll @IntRange(min = 13, max = 400) int size) {
         List<Member> view = fleet(size);
@@ -42,9 +42,9 @@
         Map<String, Integer> reporters = new HashMap<>();
         for (Member member : view) {
             CollectorPlan plan = CollectorPlan.of(member.name(), view);
-            Optional<String> to = plan.collectorOf(Set.of());
-            assertThat(to.isPresent()).isEqualTo(!plan.collector());
-            if (plan.collector()) {
+            Optional<String> to = plan.collector(Set.of());
+            assertThat(to.isPresent()).isEqualTo(!plan.isCollector());
+            if (plan.isCollector()) {
                 collectors.add(member.name());
             }
             to.ifPresent(name -> {
@@ -57,23 +57,23 @@
             List<String> others = CollectorPlan.of(collector, view).otherCollectors();
             assertThat(others).hasSize(collectors.size() - 1).doesNotContain(collector);
         }
-        assertThat(reporters.values()).allMatch(count -> count <= 2 * CollectorPlan.MOST_REPORTERS);
+        assertThat(reporters.values()).allMatch(count -> count <= 2 * CollectorPlan.PROCESSES_PER_COLLECTOR);
     }
 
-    // A data centre is lost with the process that reads for the others. The second one must stand elsewhere, or
-    // everybody
-    // has to notice the loss before anybody reads.
+    // A data centre is lost together with one reader. If the second reader were in the same data centre, no process
+    // would read until the others have detected the loss.
     @Property(tries = 100, seed = "7")
-    void allAgreeOnAnOrderOfReadersWhoseFirstTwoStandInTwoDataCentres(@ForAll @IntRange(min = 3, max = 200) int size) {
+    void allProcessesAgreeOnReadersAndTheFirstTwoAreInDifferentDataCentres(
+            @ForAll @IntRange(min = 3, max = 200) int size) {
         List<Member> view = fleet(size);
-        List<String> order = CollectorPlan.of("vm-0", view).readingOrder();
+        List<String> order = CollectorPlan.of("vm-0", view).readerCandidates();
         assertThat(order)
                 .containsExactlyInAnyOrderElementsOf(
                         view.stream().map(Member::name).toList());
-        assertThat(CollectorPlan.of("vm-0", view).readers()).isEqualTo(2);
+        assertThat(CollectorPlan.of("vm-0", view).readerCount()).isEqualTo(2);
         assertThat(dataCentre(order.get(0), view)).isNotEqualTo(dataCentre(order.get(1), view));
         for (Member member : view) {
-            assertThat(CollectorPlan.of(member.name(), view).readingOrder()).isEqualTo(order);
+            assertThat(CollectorPlan.of(member.name(), view).readerCandidates()).isEqualTo(order);
         }
     }
 
@@ -82,17 +82,17 @@
         List<Member> view = fleet(30).stream()
                 .filter(member -> member.payload().dataCentre().equals("dc-0"))
                 .toList();
-        assertThat(CollectorPlan.of("vm-0", view).readers()).isEqualTo(1);
+        assertThat(CollectorPlan.of("vm-0", view).readerCount()).isEqualTo(1);
     }
 
-    // What a reader has read goes to one process of each other data centre, and from there on. If two passed it on, or
-    // none, a data centre would get everything twice or stay behind.
+    // A reader sends the data to one relay in each other data centre, which forwards it. With two relays a data centre
+    // would get all data twice, and with none it would not be updated.
     @Property(tries = 100, seed = "7")
-    void oneProcessOfEachDataCentrePassesOnWhatOthersHaveRead(@ForAll @IntRange(min = 3, max = 200) int size) {
+    void eachDataCentreHasExactlyOneRelay(@ForAll @IntRange(min = 3, max = 200) int size) {
         List<Member> view = fleet(size);
         List<String> relays = view.stream()
                 .map(Member::name)
-                .filter(name -> CollectorPlan.of(name, view).relay())
+                .filter(name -> CollectorPlan.of(name, view).isRelay())
                 .toList();
         assertThat(relays.stream().map(name -> dataCentre(name, view)))
                 .hasSize(DATA_CENTRES)
@@ -106,54 +106,55 @@
         }
     }
 
-    // A collector is killed. Nobody has noticed but those that report to it, and their reports must reach somebody.
+    // A collector is killed. Until the membership detects it, only its reporters get no answers, and their reports must
+    // reach another process.
     @Test
     void aSilentCollectorIsReplacedByAnotherProcess() {
         List<Member> view = fleet(30);
         String reporter = view.stream()
                 .map(Member::name)
-                .filter(name -> !CollectorPlan.of(name, view).collector())
+                .filter(name -> !CollectorPlan.of(name, view).isCollector())
                 .findFirst()
                 .orElseThrow();
         CollectorPlan plan = CollectorPlan.of(reporter, view);
-        String first = plan.collectorOf(Set.of()).orElseThrow();
-        String second = plan.collectorOf(Set.of(first)).orElseThrow();
+        String first = plan.collector(Set.of()).orElseThrow();
+        String second = plan.collector(Set.of(first)).orElseThrow();
         assertThat(second).isNotEqualTo(first).isNotEqualTo(reporter);
         assertThat(dataCentre(second, view)).isEqualTo(dataCentre(first, view));
     }
 
-    // A process that gathers nothing leaves the fleet. All others keep their collector, or the sums of all would be
+    // A process that is no collector is lost. If other processes changed their collector, the sums of all would be
     // wrong for a second.
     @Test
-    void aProcessThatIsLostMovesNobodyElsesReports() {
+    void lossOfAReporterChangesNoOtherCollectorAssignment() {
         List<Member> view = fleet(120);
         for (Member lost : view) {
-            if (CollectorPlan.of(lost.name(), view).collector()) {
+            if (CollectorPlan.of(lost.name(), view).isCollector()) {
                 continue;
             }
             List<Member> without = new ArrayList<>(view);
             without.remove(lost);
             for (Member member : without) {
-                assertThat(CollectorPlan.of(member.name(), without).collectorOf(Set.of()))
-                        .isEqualTo(CollectorPlan.of(member.name(), view).collectorOf(Set.of()));
+                assertThat(CollectorPlan.of(member.name(), without).collector(Set.of()))
+                        .isEqualTo(CollectorPlan.of(member.name(), view).collector(Set.of()));
             }
         }
     }
 
     @Test
-    void aProcessThatLeavesOrIsSuspectedGathersNothing() {
+    void leavingSuspectAndDeadMembersAreNotEligible() {
         List<Member> view = fleet(30);
         for (MemberState state : List.of(MemberState.LEAVING, MemberState.SUSPECT, MemberState.DEAD)) {
             List<Member> changed =
-                    view.stream().map(member -> stated(member, state)).toList();
+                    view.stream().map(member -> withState(member, state)).toList();
             CollectorPlan plan = CollectorPlan.of("vm-0", changed);
-            assertThat(plan.direct()).isTrue();
-            assertThat(plan.readingOrder()).containsExactly("vm-0");
-            assertThat(plan.relay()).isTrue();
+            assertThat(plan.isDirect()).isTrue();
+            assertThat(plan.readerCandidates()).containsExactly("vm-0");
+            assertThat(plan.isRelay()).isTrue();
         }
     }
 
-    private static Member stated(Member member, MemberState state) {
+    private static Member withState(Member member, MemberState state) {
         return new Member(member.id(), member.address(), state, member.payload(), 0, 0);
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
@@ -9,17 +9,17 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-import org.dotterelcourse.coordination.Wire;
+import org.dotterelcourse.coordination.SimulatedNetwork;
 
 /** Relays on a wire beside a published sequence that can be down, stale or wrong for one reader. */
 final class RelayFleet {
 
-    private static final long READ_NANOS = 5 * Wire.MILLISECOND;
-    private static final long WATCH_NANOS = 10 * Wire.SECOND;
-    private static final long TICK_NANOS = 100 * Wire.MILLISECOND;
+    private static final long READ_NANOS = 5 * SimulatedNetwork.MILLISECOND;
+    private static final long WATCH_NANOS = 10 * SimulatedNetwork.SECOND;
+    private static final long TICK_NANOS = 100 * SimulatedNetwork.MILLISECOND;
     private static final int READERS = 2;
 
-    final Wire<byte[]> wire;
+    final SimulatedNetwork<byte[]> wire;
     final Map<Integer, ConfigurationRelay> nodes = new TreeMap<>();
     final Map<Integer, List<Long>> inForce = new HashMap<>();
     final List<RelayAlarm> alarms = new ArrayList<>();
@@ -35,7 +35,7 @@
     private record Read(int node, ConfigurationRelay asker, RelayEffect read, long dueNanos) {}
 
     RelayFleet(int size, long seed) {
-        wire = new Wire<>(seed);
+        wire = new SimulatedNetwork<>(seed);
         random = new Random(seed);
         publish(true, "first");
         for (int i = 0; i < size; i++) {
@@ -72,7 +72,7 @@
         nodes.put(
                 node,
                 new ConfigurationRelay(
-                        RelayFleet::fold, RelaySettings.STANDARD, new Random(random.nextLong()), wire.now()));
+                        RelayFleet::fold, RelaySettings.STANDARD, new Random(random.nextLong()), wire.nowNanos()));
         inForce.put(node, new ArrayList<>());
         wire.attach(
                 node,
@@ -80,7 +80,7 @@
                         node,
                         new RelayEvent.Received(
                                 "n" + from,
-                                Wire.address(from),
+                                SimulatedNetwork.address(from),
                                 ConfigurationCodec.decode(bytes).orElseThrow())));
         for (int each : nodes.keySet()) {
             tell(each, roster(each));
@@ -88,11 +88,11 @@
     }
 
     void run(long nanos) {
-        long end = wire.now() + nanos;
-        while (wire.now() < end) {
-            wire.advanceTo(wire.now() + TICK_NANOS / 10);
+        long end = wire.nowNanos() + nanos;
+        while (wire.nowNanos() < end) {
+            wire.advanceTo(wire.nowNanos() + TICK_NANOS / 10);
             answerReads();
-            if (wire.now() / (TICK_NANOS / 10) % 10 == 0) {
+            if (wire.nowNanos() / (TICK_NANOS / 10) % 10 == 0) {
                 tick();
             }
         }
@@ -115,7 +115,7 @@
         List<RelayPeer> peers = new ArrayList<>();
         for (int node : nodes.keySet()) {
             if (node != self) {
-                peers.add(new RelayPeer("n" + node, Wire.address(node), node % 3 == self % 3));
+                peers.add(new RelayPeer("n" + node, SimulatedNetwork.address(node), node % 3 == self % 3));
             }
         }
         return new RelayEvent.Roster(peers, self / 3 < READERS);
@@ -123,7 +123,7 @@
 
     private void tick() {
         for (int node : List.copyOf(nodes.keySet())) {
-            if (wire.paused(node)) {
+            if (wire.isPaused(node)) {
                 continue;
             }
             tell(node, new RelayEvent.Tick());
@@ -145,10 +145,10 @@
 
     private void tell(int node, RelayEvent event) {
         ConfigurationRelay relay = nodes.get(node);
-        for (RelayEffect effect : relay.on(event, wire.now())) {
+        for (RelayEffect effect : relay.on(event, wire.nowNanos())) {
             if (effect instanceof RelayEffect.SendTo send) {
                 byte[] bytes = ConfigurationCodec.encode(send.message());
-                wire.send(node, Wire.node(send.to()), bytes, false);
+                wire.send(node, SimulatedNetwork.node(send.to()), bytes, false);
             } else if (effect instanceof RelayEffect.InForce changed) {
                 inForce.get(node).add(changed.content().number());
             } else if (effect instanceof RelayEffect.Raised raised) {
@@ -156,7 +156,7 @@
             } else if (!(effect instanceof RelayEffect.Advanced || effect instanceof RelayEffect.Refused)) {
                 reads++;
                 long wait = effect instanceof RelayEffect.Watch ? WATCH_NANOS : READ_NANOS;
-                pending.add(new Read(node, relay, effect, wire.now() + wait));
+                pending.add(new Read(node, relay, effect, wire.nowNanos() + wait));
             }
         }
     }
@@ -164,7 +164,7 @@
     private void answerReads() {
         for (Read read : List.copyOf(pending)) {
             boolean news = read.read instanceof RelayEffect.Watch watch && !serviceDown && head() > watch.after();
-            boolean due = wire.now() >= read.dueNanos && !wire.paused(read.node);
+            boolean due = wire.nowNanos() >= read.dueNanos && !wire.isPaused(read.node);
             if (news || due) {
                 pending.remove(read);
                 if (nodes.get(read.node) == read.asker) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipCodecPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipCodecPropertyTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.dotterelcourse.coordination.MemberId;
-import org.dotterelcourse.coordination.Wire;
+import org.dotterelcourse.coordination.SimulatedNetwork;
 import org.dotterelcourse.coordination.membership.MembershipMessage.Ack;
 import org.dotterelcourse.coordination.membership.MembershipMessage.Body;
 import org.dotterelcourse.coordination.membership.MembershipMessage.Gossip;
@@ -24,7 +24,7 @@
 class MembershipCodecPropertyTest {
 
     @Property(seed = "61", tries = 300)
-    void decodingGivesWhatWasEncoded(@ForAll long seed) {
+    void decodedMessageEqualsTheEncodedOne(@ForAll long seed) {
         Random random = new Random(seed);
         List<Update> updates = new ArrayList<>();
         for (int i = random.nextInt(5); i > 0; i--) {
@@ -35,20 +35,20 @@
     }
 
     /**
-     * Anybody can send datagrams to the peer port. One that made the decoder throw would be an easy way to disturb a
-     * daemon.
+     * Any host can send datagrams to the peer port. If the decoder threw an exception for some of them, they could be
+     * used to disturb a daemon.
      */
     @Property(seed = "62", tries = 1_000)
-    void arbitraryBytesAreRefusedWithoutAnException(@ForAll @Size(max = 200) byte[] bytes) {
+    void arbitraryBytesAreRejectedWithoutAnException(@ForAll @Size(max = 200) byte[] bytes) {
         assertThatCode(() -> MembershipCodec.decode(bytes)).doesNotThrowAnyException();
     }
 
     @Property(seed = "63", tries = 500)
-    void damagedMessagesAreRefusedOrReadWithoutAnException(
-            @ForAll long seed, @ForAll @IntRange(max = 10_000) int place, @ForAll byte value) {
+    void damagedMessagesAreRejectedOrDecodedWithoutAnException(
+            @ForAll long seed, @ForAll @IntRange(max = 10_000) int offset, @ForAll byte value) {
         Random random = new Random(seed);
         byte[] bytes = MembershipCodec.encode(new MembershipMessage(body(random), update(random), List.of()));
-        bytes[place % bytes.length] = value;
+        bytes[offset % bytes.length] = value;
         assertThatCode(() -> MembershipCodec.decode(bytes)).doesNotThrowAnyException();
     }
 
@@ -62,14 +62,14 @@
                 random.nextInt(1_000));
         MemberState state = MemberState.values()[random.nextInt(4)];
         MemberId id = new MemberId("entry-" + random.nextInt(400), random.nextLong());
-        return new Update(id, Wire.address(random.nextInt(60_000)), state, payload, random.nextLong());
+        return new Update(id, SimulatedNetwork.address(random.nextInt(60_000)), state, payload, random.nextLong());
     }
 
     private static Body body(Random random) {
         return switch (random.nextInt(6)) {
             case 0 -> new Ping(random.nextLong(), "entry-1");
             case 1 -> new Ack(random.nextLong(), random.nextBoolean());
-            case 2 -> new PingRequest(random.nextLong(), "entry-2", Wire.address(5));
+            case 2 -> new PingRequest(random.nextLong(), "entry-2", SimulatedNetwork.address(5));
             case 3 -> new Sync(random.nextLong());
             case 4 -> new Table(random.nextBoolean());
             default -> new Gossip();
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -130,7 +130,7 @@
 
     @Override
     public void stop() {
-        driver.submit(new MembershipEvent.Depart());
+        driver.submit(new MembershipEvent.Shutdown());
         transport.execute(() -> {});
         transport.close();
     }
@@ -277,10 +277,10 @@
         List<Member> reachable = view.stream().filter(Peers::servesCallers).toList();
         Ownership ownership = new Ownership(reachable, 0, System.nanoTime());
         List<CallerAddress> addresses = new ArrayList<>();
-        for (Member member : ownership.addresses(caller, settings.dataCentre(), settings.region(), ADDRESSES)) {
+        for (Member member : ownership.preferredMembers(caller, settings.dataCentre(), settings.region(), ADDRESSES)) {
             boolean near = member.payload().dataCentre().equals(settings.dataCentre());
             addresses.add(new CallerAddress(
-                    member.payload().callersAddress(), member.payload().dataCentre(), near ? 2 : 1));
+                    member.payload().clientAddress(), member.payload().dataCentre(), near ? 2 : 1));
         }
         return addresses;
     }
@@ -288,7 +288,7 @@
     /** A daemon that has just started listens before it has a configuration, and would turn callers away. */
     private static boolean servesCallers(Member member) {
         Payload told = member.payload();
-        return !told.callersAddress().isEmpty() && told.configurationNumber() > 0;
+        return !told.clientAddress().isEmpty() && told.configurationNumber() > 0;
     }
 
     /**
@@ -329,13 +329,13 @@
                 .filter(vm -> vm.kind().equals(Vm.ENTRY) && !vm.name().equals(settings.name()))
                 .map(vm -> new ListedVm(vm.name(), address(vm.address())))
                 .toList();
-        driver.submit(new MembershipEvent.Listed(others));
+        driver.submit(new MembershipEvent.VmListReceived(others));
     }
 
     private void changed(MembershipEffect effect) {
-        if (effect instanceof MembershipEffect.Changed changed) {
+        if (effect instanceof MembershipEffect.MemberChanged changed) {
             audit(changed.member());
-        } else if (effect instanceof MembershipEffect.PauseNoticed paused) {
+        } else if (effect instanceof MembershipEffect.PauseDetected paused) {
             audit.add(
                     AuditEvent.Kind.PROCESS,
                     settings.name(),
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -154,8 +154,10 @@
                     .duty()
                     .order(
                             id(peers.self()),
-                            plan.readingOrder().stream().map(FleetExchange::id).toList(),
-                            plan.readers());
+                            plan.readerCandidates().stream()
+                                    .map(FleetExchange::id)
+                                    .toList(),
+                            plan.readerCount());
             others = view.stream().filter(this::isOther).map(Member::name).toList();
             state.workers().fleet(peers.self(), others, now);
             state.quarantine().scheduleReminders();
@@ -164,13 +166,13 @@
         state.processes(others.size() + 1);
         notices = new Notices(
                 state.quarantine().takeNotices(now), state.workers().limits().takeNotices(now));
-        if (plan.direct()) {
+        if (plan.isDirect()) {
             tellAll(now);
         } else {
             tellByPlan(now);
         }
         long period = Math.max(DIRECT_PERIOD_MILLIS, MILLIS_PER_PEER * others.size());
-        loop.atNext(plan.direct() ? period : PERIOD_MILLIS, this::tell);
+        loop.atNext(plan.isDirect() ? period : PERIOD_MILLIS, this::tell);
     }
 
     private boolean isOther(Member member) {
@@ -207,7 +209,7 @@
     private void tellByPlan(long now) {
         reporters.values().removeIf(heard -> now - heard > SILENT_MILLIS * NANOS_PER_MILLI);
         List<CachedPrefixes.PartLocation> places = state.prefixes().drainUnreported();
-        Optional<String> to = plan.collectorOf(avoided(now));
+        Optional<String> to = plan.collector(avoided(now));
         if (to.isPresent()) {
             Map<Integer, PeerLoads.Load> own = state.workers().own(now);
             if (due(ALL, own, places, now)) {
@@ -215,7 +217,7 @@
             }
         }
         places.addAll(reportedPlaces);
-        if (plan.collector()) {
+        if (plan.isCollector()) {
             Map<Integer, PeerLoads.Load> sum = state.workers().gathered(now);
             if (due(COLLECTORS, sum, places, now)) {
                 byte[] gathered = report(FleetProtos.LoadReport.Kind.GATHERED, sum, "", places, now);
@@ -237,7 +239,7 @@
     /** Collectors that are silent are not asked again for a while. */
     private Set<String> avoided(long now) {
         avoided.values().removeIf(since -> now - since > AVOIDED_MILLIS * NANOS_PER_MILLI);
-        String wanted = plan.collectorOf(avoided.keySet()).orElse("");
+        String wanted = plan.collector(avoided.keySet()).orElse("");
         if (!wanted.equals(collector)) {
             collector = wanted;
             collectorNanos = now;
@@ -345,7 +347,7 @@
     }
 
     private void places(PeerLoads.Scope scope, FleetProtos.LoadReport report, long now) {
-        boolean direct = plan == null || plan.direct();
+        boolean direct = plan == null || plan.isDirect();
         int count = Math.min(report.getPartsCount(), report.getPartWorkersCount());
         for (int i = 0; i < count; i++) {
             CachedPrefixes.PartLocation place =
