--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
@@ -76,7 +76,7 @@
             return;
         }
         if (effect instanceof MembershipEffect.Reincarnated reincarnated) {
-            transport.identify(reincarnated.id());
+            transport.updateIdentity(reincarnated.id());
         }
         listener.accept(effect);
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
@@ -109,7 +109,7 @@
      *
      * @param identity name and incarnation
      */
-    public void identify(MemberId identity) {
+    public void updateIdentity(MemberId identity) {
         self = identity;
     }
 
