--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
@@ -86,7 +86,7 @@
         switch (send.path()) {
             case DATAGRAM -> transport.sendDatagram(send.to(), CHANNEL, body);
             case STREAM -> transport.send(send.to(), CHANNEL, body);
-            case FRESH_STREAM -> transport.sendFresh(send.to(), CHANNEL, body);
+            case FRESH_STREAM -> transport.sendOnNewConnection(send.to(), CHANNEL, body);
             default -> throw new IllegalStateException(send.path().name());
         }
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerLink.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerLink.java
@@ -45,7 +45,7 @@
      * stays until the new one is there, and is then read to its end: most doubts are unfounded, and what others have
      * under way on it must not be lost for a single lost datagram.
      */
-    void sendFresh(Envelope envelope) {
+    void sendOnNewConnection(Envelope envelope) {
         if (freshQueue.size() >= limits.queueMessages()) {
             transport.counters().dropped(freshQueue.removeFirst().getChannel());
         }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
@@ -141,7 +141,7 @@
      * @param channel the receiver's channel
      * @param body the channel's own encoding
      */
-    public void sendFresh(InetSocketAddress to, String channel, byte[] body) {
+    public void sendOnNewConnection(InetSocketAddress to, String channel, byte[] body) {
         sendStream(to, channel, body, true);
     }
 
@@ -333,7 +333,7 @@
 
     private void sendNow(InetSocketAddress to, Envelope envelope, boolean fresh) {
         if (fresh) {
-            link(to).sendFresh(envelope);
+            link(to).sendOnNewConnection(envelope);
         } else {
             link(to).send(envelope);
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/transport/PeerTransportTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/transport/PeerTransportTest.java
@@ -154,7 +154,7 @@
             a.send(relay.address(), CHANNEL, new byte[] {1});
             next();
             relay.swallowOpen(true, true);
-            a.sendFresh(relay.address(), CHANNEL, new byte[] {2});
+            a.sendOnNewConnection(relay.address(), CHANNEL, new byte[] {2});
             assertThat(next().body()).containsExactly(2);
             assertThat(a.silentConnections()).isZero();
         }
@@ -176,7 +176,7 @@
             byte[] body = ByteBuffer.allocate(500).putInt(i).array();
             expected.add(i);
             if (i % 500 == 250) {
-                a.sendFresh(b.address(), CHANNEL, body);
+                a.sendOnNewConnection(b.address(), CHANNEL, body);
             } else {
                 a.send(b.address(), CHANNEL, body);
             }
