--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
@@ -118,7 +118,7 @@
 
     /** Drops a share of the datagrams that this node sends. */
     void lose(double share) {
-        transport.loseDatagrams(share);
+        transport.simulateDatagramLoss(share);
     }
 
     long alive() {
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
@@ -209,7 +209,7 @@
      *
      * @param share from 0 for none to 1 for all
      */
-    public void loseDatagrams(double share) {
+    public void simulateDatagramLoss(double share) {
         datagramLoss = share;
     }
 
