--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationDriver.java
@@ -49,7 +49,7 @@
      * @param tickNanos period of the ticks in nanoseconds
      */
     public void start(long tickNanos) {
-        transport.receive(CHANNEL, this::receive);
+        transport.registerHandler(CHANNEL, this::receive);
         transport.every(tickNanos, () -> handle(new RelayEvent.Tick()));
     }
 
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/TransportMeasurement.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/TransportMeasurement.java
@@ -41,7 +41,7 @@
         try (PeerTransport sender = transport("sender");
                 PeerTransport receiver = transport("receiver")) {
             AtomicLong received = new AtomicLong();
-            receiver.receive(CHANNEL, message -> received.incrementAndGet());
+            receiver.registerHandler(CHANNEL, message -> received.incrementAndGet());
             send(sender, receiver, bytes, WARM_UP, 2 * rate + 5_000);
             received.set(0);
             int count = Math.min(MESSAGES, 8 * rate);
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
@@ -39,7 +39,7 @@
      * @param tickNanos period of the ticks in nanoseconds, as in the machine's settings
      */
     public void start(long tickNanos) {
-        transport.receive(CHANNEL, this::receive);
+        transport.registerHandler(CHANNEL, this::receive);
         transport.every(tickNanos, () -> handle(new MembershipEvent.Tick()));
     }
 
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
@@ -119,7 +119,7 @@
      * @param channel the channel's name
      * @param handler called on the transport's thread
      */
-    public void receive(String channel, PeerHandler handler) {
+    public void registerHandler(String channel, PeerHandler handler) {
         handlers.put(channel, handler);
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/transport/PeerTransportTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/transport/PeerTransportTest.java
@@ -69,8 +69,8 @@
     void answerGoesBackToTheAddressAMessageCameFrom() throws InterruptedException {
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
         PeerTransport b = transport("b", 0, TransportLimits.STANDARD);
-        b.receive(CHANNEL, message -> b.send(message.from(), CHANNEL, message.body()));
-        a.receive(CHANNEL, received::add);
+        b.registerHandler(CHANNEL, message -> b.send(message.from(), CHANNEL, message.body()));
+        a.registerHandler(CHANNEL, received::add);
         a.send(b.address(), CHANNEL, new byte[] {1});
         assertThat(next().from()).isEqualTo(b.address());
     }
@@ -169,8 +169,8 @@
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
         PeerTransport b = transport("b", 0, TransportLimits.STANDARD);
         int count = 3_000;
-        b.receive(CHANNEL, message -> b.send(message.from(), CHANNEL, message.body()));
-        a.receive(CHANNEL, received::add);
+        b.registerHandler(CHANNEL, message -> b.send(message.from(), CHANNEL, message.body()));
+        a.registerHandler(CHANNEL, received::add);
         Set<Integer> expected = new HashSet<>();
         for (int i = 0; i < count; i++) {
             byte[] body = ByteBuffer.allocate(500).putInt(i).array();
@@ -224,7 +224,7 @@
 
     private PeerTransport receiver(int port, TransportLimits limits) {
         PeerTransport transport = transport("b", port, limits);
-        transport.receive(CHANNEL, received::add);
+        transport.registerHandler(CHANNEL, received::add);
         return transport;
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -222,7 +222,7 @@
      * @param listener hears of each message with its sender's name
      */
     public void receive(String channel, MessageListener listener) {
-        transport.receive(
+        transport.registerHandler(
                 channel,
                 message -> loop.execute(() -> listener.received(message.sender().name(), message.body())));
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -133,7 +133,7 @@
         relay = kernel.find(ItemRelay.NAME);
         peers = kernel.find(Peers.NAME);
         transport = peers.transport();
-        transport.receive(
+        transport.registerHandler(
                 LOADS, message -> loop.execute(() -> loads(message.sender().name(), message.body())));
         loop.after(DIRECT_PERIOD_MILLIS, this::tell);
         return List.of();
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
@@ -61,10 +61,10 @@
         publications = kernel.find(Publications.NAME);
         peers = kernel.find(Peers.NAME);
         transport = peers.transport();
-        transport.receive(
+        transport.registerHandler(
                 ITEMS_REQUEST,
                 message -> loop.execute(() -> itemsWanted(message.sender().name())));
-        transport.receive(
+        transport.registerHandler(
                 ITEMS, message -> loop.execute(() -> items(message.sender().name(), message.body())));
         publications.onRead(this::push);
         return List.of();
