--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationDriver.java
@@ -50,7 +50,7 @@
      */
     public void start(long tickNanos) {
         transport.registerHandler(CHANNEL, this::receive);
-        transport.every(tickNanos, () -> handle(new RelayEvent.Tick()));
+        transport.schedulePeriodically(tickNanos, () -> handle(new RelayEvent.Tick()));
     }
 
     /**
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
@@ -40,7 +40,7 @@
      */
     public void start(long tickNanos) {
         transport.registerHandler(CHANNEL, this::receive);
-        transport.every(tickNanos, () -> handle(new MembershipEvent.Tick()));
+        transport.schedulePeriodically(tickNanos, () -> handle(new MembershipEvent.Tick()));
     }
 
     /**
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
@@ -22,7 +22,7 @@
 
 /**
  * Messages between processes over TCP and UDP on one port number. Everything runs on one thread: handlers are called on
- * it, and so are the tasks given to {@link #execute} and {@link #every}, so that state machines need no locks. Delivery
+ * it, and so are the tasks given to {@link #execute} and {@link #schedulePeriodically}, so that state machines need no locks. Delivery
  * is best effort: a message may be lost when a connection breaks, but it is never changed, cut or merged.
  */
 public final class PeerTransport implements AutoCloseable {
@@ -181,13 +181,13 @@
      * @param periodNanos time between two runs in nanoseconds; longer after a pause of this process
      * @param task must not block
      */
-    public void every(long periodNanos, Runnable task) {
+    public void schedulePeriodically(long periodNanos, Runnable task) {
         long toNext = periodNanos - Math.floorMod(System.nanoTime(), periodNanos);
         loop.schedule(
                 () -> {
                     if (!closed) {
                         guarded(task);
-                        every(periodNanos, task);
+                        schedulePeriodically(periodNanos, task);
                     }
                 },
                 toNext,
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/LoopbackMembershipTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/LoopbackMembershipTest.java
@@ -81,7 +81,7 @@
 
     private static void awaitView(Node node, Predicate<List<Member>> condition) {
         CompletableFuture<List<Member>> met = new CompletableFuture<>();
-        node.transport.every(TimeUnit.MILLISECONDS.toNanos(20), () -> {
+        node.transport.schedulePeriodically(TimeUnit.MILLISECONDS.toNanos(20), () -> {
             if (!met.isDone() && condition.test(node.membership.members())) {
                 met.complete(node.membership.members());
             }
