--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
@@ -102,7 +102,7 @@
     }
 
     void later(Runnable task, long delayNanos) {
-        transport.after(delayNanos, task);
+        transport.scheduleOnce(delayNanos, task);
     }
 
     /** Blocks the node's thread, as when its host stalls. */
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
@@ -200,7 +200,7 @@
      * @param delayNanos after how long, in nanoseconds
      * @param task must not block
      */
-    public void after(long delayNanos, Runnable task) {
+    public void scheduleOnce(long delayNanos, Runnable task) {
         schedule(() -> guarded(task), delayNanos);
     }
 
