--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
@@ -153,7 +153,7 @@
      * @param body the channel's own encoding
      */
     public void sendDatagram(InetSocketAddress to, String channel, byte[] body) {
-        if (body.length > limits.datagramBytes()) {
+        if (body.length > limits.maxDatagramBytes()) {
             counters.dropped(channel);
             return;
         }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/TransportLimits.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/TransportLimits.java
@@ -5,7 +5,7 @@
  * links, and at one heartbeat of about 45 bytes every two seconds they take 1.6 KB a second.
  *
  * @param messageBytes largest body by TCP; a longer one isn't sent, and a peer that announces one is cut off
- * @param datagramBytes largest body by UDP
+ * @param maxDatagramBytes largest body by UDP
  * @param queueMessages how many messages wait for a link; the oldest is dropped for a new one
  * @param queueAgeNanos how long a message waits for a link before it is dropped
  * @param heartbeatNanos period of heartbeats on each link
@@ -16,7 +16,7 @@
  */
 public record TransportLimits(
         int messageBytes,
-        int datagramBytes,
+        int maxDatagramBytes,
         int queueMessages,
         long queueAgeNanos,
         long heartbeatNanos,
@@ -53,7 +53,7 @@
     public TransportLimits withSilence(long heartbeat, long silence) {
         return new TransportLimits(
                 messageBytes,
-                datagramBytes,
+                maxDatagramBytes,
                 queueMessages,
                 queueAgeNanos,
                 heartbeat,
@@ -72,7 +72,7 @@
     public TransportLimits withMessageBytes(int bytes) {
         return new TransportLimits(
                 bytes,
-                datagramBytes,
+                maxDatagramBytes,
                 queueMessages,
                 queueAgeNanos,
                 heartbeatNanos,
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipBoundsTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/membership/MembershipBoundsTest.java
@@ -30,7 +30,7 @@
         assertThat(fleet.converged(MemberState.ALIVE)).isTrue();
         assertThat(fleet.largestDatagram)
                 .isGreaterThan(800)
-                .isLessThanOrEqualTo(TransportLimits.STANDARD.datagramBytes());
+                .isLessThanOrEqualTo(TransportLimits.STANDARD.maxDatagramBytes());
     }
 
     @Test
