--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransportBuilder.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransportBuilder.java
@@ -70,7 +70,7 @@
      * @param listener called on the transport's thread
      * @return this builder
      */
-    public PeerTransportBuilder failures(Consumer<Throwable> listener) {
+    public PeerTransportBuilder onFailure(Consumer<Throwable> listener) {
         failures = listener;
         return this;
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -109,7 +109,7 @@
             PeerTransportBuilder builder = PeerTransport.builder()
                     .bind(new InetSocketAddress(settings.address(), settings.peersPort()))
                     .self(self)
-                    .failures(failure -> LOG.warn("a message of another daemon could not be taken", failure));
+                    .onFailure(failure -> LOG.warn("a message of another daemon could not be taken", failure));
             sharedLoop.ifPresent(builder::loop);
             transport = builder.build().start();
         } catch (UncheckedIOException e) {
