--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/Daemon.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/Daemon.java
@@ -13,7 +13,7 @@
 import org.dotterelcourse.daemon.edge.CallersEdge;
 import org.dotterelcourse.daemon.kernel.ControlLoop;
 import org.dotterelcourse.daemon.kernel.Kernel;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.limits.Limits;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
 import org.dotterelcourse.daemon.once.Tickets;
@@ -75,7 +75,7 @@
      *
      * @return what kept it from starting, empty if it runs
      */
-    public List<StartFinding> start() {
+    public List<StartupFailure> start() {
         return kernel.start();
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/RunCommand.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/RunCommand.java
@@ -14,7 +14,7 @@
 import org.dotterelcourse.configuration.Checked;
 import org.dotterelcourse.configuration.DaemonSettings;
 import org.dotterelcourse.configuration.DaemonSettingsReader;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 
 /** Runs a daemon until SIGTERM, which drains it. */
 @Command(name = "run", description = "Run a daemon until SIGTERM, which drains it")
@@ -52,7 +52,7 @@
 
     private static int run(DaemonSettings settings) throws InterruptedException {
         Daemon daemon = new Daemon(settings);
-        List<StartFinding> findings = daemon.start();
+        List<StartupFailure> findings = daemon.start();
         if (!findings.isEmpty()) {
             findings.forEach(finding -> System.err.println(finding.service() + ": " + finding.problem()));
             return EXIT_NOT_STARTED;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/AuditTrail.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/AuditTrail.java
@@ -17,7 +17,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.jboss.logging.Logger;
 
 /**
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         if (file.isEmpty()) {
             return List.of();
         }
@@ -69,7 +69,7 @@
             append("");
             return List.of();
         } catch (UncheckedIOException e) {
-            return List.of(new StartFinding(NAME.value(), "can't write the audit file " + file + ": " + e.getCause()));
+            return List.of(new StartupFailure(NAME.value(), "can't write the audit file " + file + ": " + e.getCause()));
         }
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LoadPoller.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LoadPoller.java
@@ -11,7 +11,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.upstream.LoadReport;
 import org.dotterelcourse.daemon.upstream.LoadReports;
 import org.dotterelcourse.policy.cell.WorkerReport;
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(ControlLoop.NAME);
         grants = kernel.find(OwnedGrants.NAME);
         loop.every(PERIOD, this::poll);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
@@ -27,7 +27,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.daemon.platform.ConfigurationStore;
 import org.dotterelcourse.daemon.platform.Vm;
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(ControlLoop.NAME);
         peers = kernel.find(Peers.NAME);
         vms = kernel.find(VmWatcher.NAME);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Dispatchers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Dispatchers.java
@@ -6,7 +6,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.upstream.Engine;
 import org.dotterelcourse.daemon.upstream.PlainService;
 
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         GrantSource grants = kernel.find(OwnedGrants.NAME);
         chatDispatcher = new ChatDispatcher(grants, engine, retries);
         serviceDispatcher = new ServiceDispatcher(grants, service, retries);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
@@ -11,7 +11,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.CallerAddress;
 import org.dotterelcourse.daemon.peers.Peers;
 import reactor.core.publisher.Mono;
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         peers = kernel.find(Peers.NAME);
         return List.of();
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/CallersEdge.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/CallersEdge.java
@@ -13,7 +13,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.limits.Limits;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
 import org.dotterelcourse.daemon.once.OnceGate;
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         addresses = kernel.find(AddressBook.NAME);
         RequestMetrics metrics = kernel.find(RequestMetrics.NAME);
         Dispatchers dispatchers = kernel.find(Dispatchers.NAME);
@@ -93,7 +93,7 @@
             addresses.callersPort(server.port());
             return List.of();
         } catch (ChannelBindException e) {
-            return List.of(new StartFinding(NAME.value(), "can't listen for callers: " + e.getMessage()));
+            return List.of(new StartupFailure(NAME.value(), "can't listen for callers: " + e.getMessage()));
         }
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ControlLoop.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ControlLoop.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         executor = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread thread = new Thread(task, "control");
             thread.setDaemon(true);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/Kernel.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/Kernel.java
@@ -13,7 +13,7 @@
  */
 public final class Kernel {
     private final Map<String, Service> services = new LinkedHashMap<>();
-    private final List<StartFinding> registration = new ArrayList<>();
+    private final List<StartupFailure> registration = new ArrayList<>();
     private final List<Service> started = new ArrayList<>();
 
     /**
@@ -25,7 +25,7 @@
     public Kernel register(Service service) {
         Service earlier = services.putIfAbsent(service.name().value(), service);
         if (earlier != null) {
-            registration.add(new StartFinding(service.name().value(), "registered twice"));
+            registration.add(new StartupFailure(service.name().value(), "registered twice"));
         }
         return this;
     }
@@ -52,8 +52,8 @@
      *
      * @return everything that kept the daemon from starting, empty if it runs
      */
-    public List<StartFinding> start() {
-        List<StartFinding> findings = new ArrayList<>(registration);
+    public List<StartupFailure> start() {
+        List<StartupFailure> findings = new ArrayList<>(registration);
         List<Service> order = order(findings);
         if (!findings.isEmpty()) {
             return findings;
@@ -77,7 +77,7 @@
         started.clear();
     }
 
-    private List<Service> order(List<StartFinding> findings) {
+    private List<Service> order(List<StartupFailure> findings) {
         List<Service> order = new ArrayList<>();
         Set<String> done = new HashSet<>();
         for (Service service : services.values()) {
@@ -87,10 +87,10 @@
     }
 
     private void visit(
-            Service service, List<String> path, Set<String> done, List<Service> order, List<StartFinding> findings) {
+            Service service, List<String> path, Set<String> done, List<Service> order, List<StartupFailure> findings) {
         String name = service.name().value();
         if (path.contains(name)) {
-            findings.add(new StartFinding(name, "depends on itself by way of " + path));
+            findings.add(new StartupFailure(name, "depends on itself by way of " + path));
             return;
         }
         if (!done.add(name)) {
@@ -100,7 +100,7 @@
         for (ServiceName<?> dependency : service.dependencies()) {
             Service needed = services.get(dependency.value());
             if (needed == null) {
-                findings.add(new StartFinding(name, "needs the service " + dependency + ", which is not registered"));
+                findings.add(new StartupFailure(name, "needs the service " + dependency + ", which is not registered"));
             } else {
                 visit(needed, path, done, order, findings);
             }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/Service.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/Service.java
@@ -24,7 +24,7 @@
      * @param kernel where the dependencies are found
      * @return what kept it from starting, empty if it runs
      */
-    List<StartFinding> start(Kernel kernel);
+    List<StartupFailure> start(Kernel kernel);
 
     /** Stops the service. Called once, and only after a start without findings. */
     void stop();
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/StartFinding.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/StartupFailure.java
@@ -6,4 +6,4 @@
  * @param service the service that it is about
  * @param problem what is wrong
  */
-public record StartFinding(String service, String problem) {}
+public record StartupFailure(String service, String problem) {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
@@ -10,7 +10,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.jboss.logging.Logger;
 import org.jboss.logging.MDC;
 
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         return List.of();
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -19,7 +19,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(ControlLoop.NAME);
         peers = kernel.find(Peers.NAME);
         MemberId self = new MemberId(peers.self(), peers.life());
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/Drain.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/Drain.java
@@ -11,7 +11,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         edge = kernel.find(CallersEdge.NAME);
         audit = kernel.find(AuditTrail.NAME);
         peers = kernel.find(Peers.NAME);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/OperatorsEdge.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/OperatorsEdge.java
@@ -16,7 +16,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.daemon.platform.ConfigurationStore;
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         audit = kernel.find(AuditTrail.NAME);
         store = kernel.find(ConfigurationStore.NAME);
         metrics = kernel.find(RequestMetrics.NAME);
@@ -93,7 +93,7 @@
                     .bindNow();
             return List.of();
         } catch (ChannelBindException e) {
-            return List.of(new StartFinding(NAME.value(), "can't listen for operators: " + e.getMessage()));
+            return List.of(new StartupFailure(NAME.value(), "can't listen for operators: " + e.getMessage()));
         }
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
@@ -22,7 +22,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.daemon.platform.ConfigurationStore;
 import org.dotterelcourse.daemon.upstream.EngineControl;
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(ControlLoop.NAME);
         grants = kernel.find(OwnedGrants.NAME);
         store = kernel.find(ConfigurationStore.NAME);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -33,7 +33,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.platform.Vm;
 import org.dotterelcourse.daemon.platform.VmWatcher;
 import org.jboss.logging.Logger;
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         audit = kernel.find(AuditTrail.NAME);
         loop = kernel.find(ControlLoop.NAME);
         MemberId self = new MemberId(settings.name(), incarnation);
@@ -113,7 +113,7 @@
             sharedLoop.ifPresent(builder::loop);
             transport = builder.build().start();
         } catch (UncheckedIOException e) {
-            return List.of(new StartFinding(NAME.value(), "can't listen for other daemons: " + e.getMessage()));
+            return List.of(new StartupFailure(NAME.value(), "can't listen for other daemons: " + e.getMessage()));
         }
         membership = Membership.builder()
                 .self(self)
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
@@ -16,7 +16,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.jboss.logging.Logger;
 import reactor.core.Disposable;
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         store = kernel.find(ConfigurationStore.NAME);
         audit = kernel.find(AuditTrail.NAME);
         peers = kernel.find(Peers.NAME);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationStore.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationStore.java
@@ -11,7 +11,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 
 /** Holds the configuration in force. Its number only ever rises, whoever brings the next one. */
 public final class ConfigurationStore implements Service {
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         audit = kernel.find(AuditTrail.NAME);
         return List.of();
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/VmWatcher.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/VmWatcher.java
@@ -12,7 +12,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.jboss.logging.Logger;
 import reactor.core.Disposable;
 import reactor.core.publisher.Flux;
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         audit = kernel.find(AuditTrail.NAME);
         polling = Flux.interval(Duration.ZERO, source.period())
                 .onBackpressureDrop()
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/kernel/KernelTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/kernel/KernelTest.java
@@ -28,7 +28,7 @@
                 .register(part("edge", "the port is taken", "store"))
                 .register(part("operators", "", "edge"));
 
-        assertThat(kernel.start()).containsExactly(new StartFinding("edge", "the port is taken"));
+        assertThat(kernel.start()).containsExactly(new StartupFailure("edge", "the port is taken"));
         assertThat(life).containsExactly("+store", "-store");
     }
 
@@ -40,7 +40,7 @@
                 .register(part("c", "", "nobody"))
                 .register(part("c", ""));
 
-        assertThat(kernel.start()).extracting(StartFinding::service).containsExactlyInAnyOrder("c", "a", "c");
+        assertThat(kernel.start()).extracting(StartupFailure::service).containsExactlyInAnyOrder("c", "a", "c");
         assertThat(life).isEmpty();
     }
 
@@ -71,9 +71,9 @@
         }
 
         @Override
-        public List<StartFinding> start(Kernel kernel) {
+        public List<StartupFailure> start(Kernel kernel) {
             if (!problem.isEmpty()) {
-                return List.of(new StartFinding(called, problem));
+                return List.of(new StartupFailure(called, problem));
             }
             life.add("+" + called);
             return List.of();
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
@@ -8,7 +8,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.jboss.logging.Logger;
 import reactor.core.scheduler.Scheduler;
 import reactor.core.scheduler.Schedulers;
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         return List.of();
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -11,7 +11,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.gateway.routing.RoutingTable;
 import org.dotterelcourse.gateway.workers.WorkerEntry;
 import org.dotterelcourse.gateway.workers.Workers;
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         audit = kernel.find(AuditTrail.NAME);
         return List.of();
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientsEdge.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientsEdge.java
@@ -13,7 +13,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.gateway.GatewayLoop;
 import org.dotterelcourse.gateway.GatewayState;
 import org.dotterelcourse.gateway.forward.Call;
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
         state = kernel.find(GatewayState.NAME);
         turns = new Turns(loop);
@@ -121,7 +121,7 @@
                     .bindNow();
             return List.of();
         } catch (ChannelBindException e) {
-            return List.of(new StartFinding(NAME.value(), "can't listen for clients: " + e.getMessage()));
+            return List.of(new StartupFailure(NAME.value(), "can't listen for clients: " + e.getMessage()));
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
@@ -8,7 +8,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.gateway.GatewayLoop;
 
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
         edge = kernel.find(ClientsEdge.NAME);
         peers = kernel.find(Peers.NAME);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
@@ -9,7 +9,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.gateway.GatewayState;
 import org.dotterelcourse.gateway.edge.ClientsEdge;
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         peers = kernel.find(Peers.NAME);
         shutdown = kernel.find(Shutdown.NAME);
         state = kernel.find(GatewayState.NAME);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -18,7 +18,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.gateway.GatewayLoop;
 import org.dotterelcourse.gateway.GatewayState;
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
         state = kernel.find(GatewayState.NAME);
         publications = kernel.find(Publications.NAME);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
@@ -11,7 +11,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.gateway.GatewayLoop;
 import org.dotterelcourse.gateway.fleet.generated.FleetProtos;
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
         publications = kernel.find(Publications.NAME);
         peers = kernel.find(Peers.NAME);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -13,7 +13,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.gateway.GatewayLoop;
 import org.dotterelcourse.gateway.GatewayState;
 import org.dotterelcourse.gateway.workers.Placement;
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
         state = kernel.find(GatewayState.NAME);
         client = new WorkerClient(loop);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -6,7 +6,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.gateway.GatewayLoop;
 import org.dotterelcourse.gateway.GatewayState;
 
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
         holdUntilNanos = loop.nowNanos();
         return List.of();
