--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LoadPoller.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LoadPoller.java
@@ -55,7 +55,7 @@
     public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(ControlLoop.NAME);
         grants = kernel.find(OwnedGrants.NAME);
-        loop.every(PERIOD, this::poll);
+        loop.schedulePeriodically(PERIOD, this::poll);
         return List.of();
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
@@ -105,8 +105,8 @@
         peers.onView(this::view);
         store.onChange(configuration -> loop.execute(this::refresh));
         vms.onChange(list -> loop.execute(this::refresh));
-        loop.every(TICK, this::tick);
-        loop.every(OWNERS_PERIOD, this::owners);
+        loop.schedulePeriodically(TICK, this::tick);
+        loop.schedulePeriodically(OWNERS_PERIOD, this::owners);
         return List.of();
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ControlLoop.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ControlLoop.java
@@ -76,7 +76,7 @@
      * @param period the time from one start to the next
      * @param task the task
      */
-    public void every(Duration period, Runnable task) {
+    public void schedulePeriodically(Duration period, Runnable task) {
         executor.scheduleAtFixedRate(guarded(task), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -95,7 +95,7 @@
         peers.receive(CHANNEL, this::received);
         peers.onView(this::view);
         kernel.find(ConfigurationStore.NAME).onChange(next -> loop.execute(() -> configured(next)));
-        loop.every(TICK, () -> carryOut(client.advance(loop.nowNanos())));
+        loop.schedulePeriodically(TICK, () -> carryOut(client.advance(loop.nowNanos())));
         return List.of();
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -78,7 +78,7 @@
         mint = new TicketMint(self, key, settings);
         desk = new TicketDesk(self, mint, settings);
         peers.receive(CHANNEL, this::received);
-        loop.every(TICK, () -> carryOut(desk.advance(loop.nowNanos())));
+        loop.schedulePeriodically(TICK, () -> carryOut(desk.advance(loop.nowNanos())));
         return List.of();
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
@@ -76,8 +76,8 @@
         audit = kernel.find(AuditTrail.NAME);
         checks = new NumberChecks(kernel.find(Peers.NAME), store, loop, this::confirmed);
         kernel.find(LoadPoller.NAME).onState(this::report);
-        loop.every(CHECK_PERIOD, checks::ask);
-        loop.every(TICK, this::tick);
+        loop.schedulePeriodically(CHECK_PERIOD, checks::ask);
+        loop.schedulePeriodically(TICK, this::tick);
         return List.of();
     }
 
