--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ControlLoop.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ControlLoop.java
@@ -66,7 +66,7 @@
      * @param delayNanos the time
      * @param task the task
      */
-    public void after(long delayNanos, Runnable task) {
+    public void scheduleOnce(long delayNanos, Runnable task) {
         executor.schedule(guarded(task), delayNanos, TimeUnit.NANOSECONDS);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -146,7 +146,7 @@
             return;
         }
         held.merge(call.customer(), 1, Integer::sum);
-        loop.after(retryAfterNanos, () -> {
+        loop.scheduleOnce(retryAfterNanos, () -> {
             held.computeIfPresent(call.customer(), (name, count) -> count == 1 ? null : count - 1);
             take(new Waiting(call.customer(), call.tokens(), untilNanos, call.sink()));
         });
