--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
@@ -291,7 +291,7 @@
         byUpstream.clear();
         for (CellWorkers workers : published.values()) {
             CellRuntime cell =
-                    cells.computeIfAbsent(workers.key(), key -> new CellRuntime(workers, peers.life(), context));
+                    cells.computeIfAbsent(workers.key(), key -> new CellRuntime(workers, peers.incarnation(), context));
             cell.workers(workers, daemons, loop.nowNanos());
             byUpstream
                     .computeIfAbsent(workers.upstream().name(), name -> new ArrayList<>())
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -89,7 +89,7 @@
         peers = kernel.find(Peers.NAME);
         region = peers.region();
         LimitSettings settings = LimitSettings.defaults().withOpening(1);
-        client = new LimitClient(peers.life(), settings, this::homeOf);
+        client = new LimitClient(peers.incarnation(), settings, this::homeOf);
         home = new LimitHome(settings, loop.nowNanos());
         ownership = new Ownership(List.of(), 0, loop.nowNanos());
         peers.receive(CHANNEL, this::received);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -71,7 +71,7 @@
     public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(ControlLoop.NAME);
         peers = kernel.find(Peers.NAME);
-        MemberId self = new MemberId(peers.self(), peers.life());
+        MemberId self = new MemberId(peers.self(), peers.incarnation());
         byte[] key = new byte[KEY_BYTES];
         new SecureRandom().nextBytes(key);
         TicketSettings settings = TicketSettings.defaults();
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -167,7 +167,7 @@
      *
      * @return the incarnation that the process started with
      */
-    public long life() {
+    public long incarnation() {
         return incarnation;
     }
 
