--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
@@ -101,7 +101,7 @@
                 random,
                 this::send,
                 kernel.find(AuditTrail.NAME));
-        peers.receive(CHANNEL, this::received);
+        peers.registerListener(CHANNEL, this::received);
         peers.onView(this::view);
         store.onChange(configuration -> loop.execute(this::refresh));
         vms.onChange(list -> loop.execute(this::refresh));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -92,7 +92,7 @@
         client = new LimitClient(peers.incarnation(), settings, this::homeOf);
         home = new LimitHome(settings, loop.nowNanos());
         ownership = new Ownership(List.of(), 0, loop.nowNanos());
-        peers.receive(CHANNEL, this::received);
+        peers.registerListener(CHANNEL, this::received);
         peers.onView(this::view);
         kernel.find(ConfigurationStore.NAME).onChange(next -> loop.execute(() -> configured(next)));
         loop.schedulePeriodically(TICK, () -> carryOut(client.advance(loop.nowNanos())));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -77,7 +77,7 @@
         TicketSettings settings = TicketSettings.defaults();
         mint = new TicketMint(self, key, settings);
         desk = new TicketDesk(self, mint, settings);
-        peers.receive(CHANNEL, this::received);
+        peers.registerListener(CHANNEL, this::received);
         loop.schedulePeriodically(TICK, () -> carryOut(desk.advance(loop.nowNanos())));
         return List.of();
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/NumberChecks.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/NumberChecks.java
@@ -42,7 +42,7 @@
         this.store = store;
         this.loop = loop;
         this.confirmed = confirmed;
-        peers.receive(CHANNEL, this::received);
+        peers.registerListener(CHANNEL, this::received);
     }
 
     /** Asks. A daemon that is alone in its fleet has nobody to contradict it. */
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -221,7 +221,7 @@
      * @param channel the channel
      * @param listener hears of each message with its sender's name
      */
-    public void receive(String channel, MessageListener listener) {
+    public void registerListener(String channel, MessageListener listener) {
         transport.registerHandler(
                 channel,
                 message -> loop.execute(() -> listener.received(message.sender().name(), message.body())));
