--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -233,7 +233,7 @@
      * @param number the number
      * @param digest its digest
      */
-    public void configurationInForce(long number, long digest) {
+    public void publishConfiguration(long number, long digest) {
         transport.execute(() -> tell(payload.withConfiguration(number, digest)));
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
@@ -104,7 +104,7 @@
         if (effect instanceof RelayEffect.InForce inForce) {
             store.offer(folder.configuration(inForce.content()), "published");
         } else if (effect instanceof RelayEffect.Advanced advanced) {
-            peers.configurationInForce(advanced.position(), advanced.digest());
+            peers.publishConfiguration(advanced.position(), advanced.digest());
         } else if (effect instanceof RelayEffect.Refused refused) {
             String cause = "refused: " + summary(refused.findings());
             audit.add(AuditEvent.Kind.CONFIGURATION, Long.toString(refused.number()), cause, "", "");
