--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
@@ -57,7 +57,7 @@
     }
 
     void callersPort(int port) {
-        peers.callersPort(port);
+        peers.publishCallersPort(port);
     }
 
     /** Each caller gets the same few daemons as long as they live, so that its connections are used again. */
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -242,7 +242,7 @@
      *
      * @param port the TCP port
      */
-    public void callersPort(int port) {
+    public void publishCallersPort(int port) {
         String address = settings.address() + ":" + port;
         transport.execute(() -> tell(new Payload(
                 address,
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
@@ -40,7 +40,7 @@
         peers = kernel.find(Peers.NAME);
         shutdown = kernel.find(Shutdown.NAME);
         state = kernel.find(GatewayState.NAME);
-        peers.callersPort(kernel.find(ClientsEdge.NAME).port());
+        peers.publishCallersPort(kernel.find(ClientsEdge.NAME).port());
         return List.of();
     }
 
