--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
@@ -65,7 +65,7 @@
         ObjectNode answer = json.createObjectNode();
         answer.put("timeToLiveSeconds", settings.addressesTimeToLive().toSeconds());
         ArrayNode list = answer.putArray("addresses");
-        for (CallerAddress address : peers.callerAddresses(headers.get("Authorization", ""))) {
+        for (CallerAddress address : peers.daemonAddresses(headers.get("Authorization", ""))) {
             list.addObject()
                     .put("address", address.address())
                     .put("dataCentre", address.dataCentre())
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -273,7 +273,7 @@
      * @param caller anything that stays the same for one caller
      * @return own data centre first; empty if no daemon may be used
      */
-    public List<CallerAddress> callerAddresses(String caller) {
+    public List<CallerAddress> daemonAddresses(String caller) {
         List<Member> reachable = view.stream().filter(Peers::servesCallers).toList();
         Ownership ownership = new Ownership(reachable, 0, System.nanoTime());
         List<CallerAddress> addresses = new ArrayList<>();
