--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
@@ -12,7 +12,7 @@
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
 import org.dotterelcourse.daemon.kernel.StartupFailure;
-import org.dotterelcourse.daemon.peers.CallerAddress;
+import org.dotterelcourse.daemon.peers.DaemonAddress;
 import org.dotterelcourse.daemon.peers.Peers;
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
@@ -65,7 +65,7 @@
         ObjectNode answer = json.createObjectNode();
         answer.put("timeToLiveSeconds", settings.addressesTimeToLive().toSeconds());
         ArrayNode list = answer.putArray("addresses");
-        for (CallerAddress address : peers.daemonAddresses(headers.get("Authorization", ""))) {
+        for (DaemonAddress address : peers.daemonAddresses(headers.get("Authorization", ""))) {
             list.addObject()
                     .put("address", address.address())
                     .put("dataCentre", address.dataCentre())
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/CallerAddress.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/DaemonAddress.java
@@ -7,4 +7,4 @@
  * @param dataCentre its data centre
  * @param weight how much of the caller's load it should get, against the others'
  */
-public record CallerAddress(String address, String dataCentre, int weight) {}
+public record DaemonAddress(String address, String dataCentre, int weight) {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -273,13 +273,13 @@
      * @param caller anything that stays the same for one caller
      * @return own data centre first; empty if no daemon may be used
      */
-    public List<CallerAddress> daemonAddresses(String caller) {
+    public List<DaemonAddress> daemonAddresses(String caller) {
         List<Member> reachable = view.stream().filter(Peers::servesCallers).toList();
         Ownership ownership = new Ownership(reachable, 0, System.nanoTime());
-        List<CallerAddress> addresses = new ArrayList<>();
+        List<DaemonAddress> addresses = new ArrayList<>();
         for (Member member : ownership.addresses(caller, settings.dataCentre(), settings.region(), ADDRESSES)) {
             boolean near = member.payload().dataCentre().equals(settings.dataCentre());
-            addresses.add(new CallerAddress(
+            addresses.add(new DaemonAddress(
                     member.payload().callersAddress(), member.payload().dataCentre(), near ? 2 : 1));
         }
         return addresses;
