--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/AuditTrail.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/AuditTrail.java
@@ -107,7 +107,7 @@
      * @param sequence only those with a higher sequence number
      * @return the events, oldest first
      */
-    public synchronized List<AuditEvent> after(long sequence) {
+    public synchronized List<AuditEvent> eventsAfter(long sequence) {
         return events.stream().filter(event -> event.sequence() > sequence).toList();
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/OperatorsEdge.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/OperatorsEdge.java
@@ -155,7 +155,7 @@
     private Mono<Void> audit(HttpServerRequest request, HttpServerResponse response) {
         List<String> after = new QueryStringDecoder(request.uri()).parameters().getOrDefault("after", List.of("0"));
         try {
-            return send(response, OK, audit.after(Long.parseLong(after.get(0))));
+            return send(response, OK, audit.eventsAfter(Long.parseLong(after.get(0))));
         } catch (NumberFormatException e) {
             return text(response, BAD_REQUEST, "after: expected a whole number, found " + after.get(0) + "\n");
         }
