--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/CallersEdge.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/CallersEdge.java
@@ -9,7 +9,7 @@
 import org.dotterelcourse.configuration.DaemonSettings;
 import org.dotterelcourse.daemon.dispatch.Dispatchers;
 import org.dotterelcourse.daemon.dispatch.Failure;
-import org.dotterelcourse.daemon.http.BoundedBody;
+import org.dotterelcourse.daemon.http.BoundedBodyCollector;
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
@@ -78,7 +78,7 @@
         Dispatchers dispatchers = kernel.find(Dispatchers.NAME);
         Tickets once = kernel.find(Tickets.NAME);
         CallerCheck check = new CallerCheck(kernel.find(ConfigurationStore.NAME));
-        BoundedBody bodies = new BoundedBody(settings.maxBodyBytes());
+        BoundedBodyCollector bodies = new BoundedBodyCollector(settings.maxBodyBytes());
         EntryGate gate = new EntryGate(kernel.find(Limits.NAME), new OnceGate(once));
         Refuser refuser = new Refuser(metrics);
         chats = new ChatRoute(check, bodies, gate, new ChatHandler(dispatchers.chat(), metrics), refuser);
@@ -146,7 +146,7 @@
                     inFlight.enter();
                     return route(new Exchange(id, arrivalNanos, request, response));
                 })
-                .onErrorResume(BoundedBody.TooLargeException.class, error -> tooLarge(response, id))
+                .onErrorResume(BoundedBodyCollector.TooLargeException.class, error -> tooLarge(response, id))
                 .onErrorResume(error -> internalError(error, response, id))
                 .doFinally(signal -> inFlight.leave());
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatRoute.java
@@ -3,19 +3,19 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import org.dotterelcourse.configuration.RequestClass;
 import org.dotterelcourse.daemon.dispatch.ChatCall;
-import org.dotterelcourse.daemon.http.BoundedBody;
+import org.dotterelcourse.daemon.http.BoundedBodyCollector;
 import reactor.core.publisher.Mono;
 
 /** Checks chat completions and hands them on. */
 final class ChatRoute implements Route {
     private final CallerCheck check;
-    private final BoundedBody bodies;
+    private final BoundedBodyCollector bodies;
     private final EntryGate gate;
     private final ChatHandler chats;
     private final Refuser refuser;
     private final ChatRequests requests = new ChatRequests();
 
-    ChatRoute(CallerCheck check, BoundedBody bodies, EntryGate gate, ChatHandler chats, Refuser refuser) {
+    ChatRoute(CallerCheck check, BoundedBodyCollector bodies, EntryGate gate, ChatHandler chats, Refuser refuser) {
         this.check = check;
         this.bodies = bodies;
         this.gate = gate;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
@@ -5,7 +5,7 @@
 import org.dotterelcourse.daemon.dispatch.ServiceAnswer;
 import org.dotterelcourse.daemon.dispatch.ServiceDispatcher;
 import org.dotterelcourse.daemon.dispatch.ServiceRequest;
-import org.dotterelcourse.daemon.http.BoundedBody;
+import org.dotterelcourse.daemon.http.BoundedBodyCollector;
 import org.dotterelcourse.daemon.metrics.RequestEnd;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
 import org.dotterelcourse.daemon.metrics.RequestWatch;
@@ -17,7 +17,7 @@
     static final String PREFIX = "/v1/services/";
 
     private final CallerCheck check;
-    private final BoundedBody bodies;
+    private final BoundedBodyCollector bodies;
     private final EntryGate gate;
     private final ServiceDispatcher dispatcher;
     private final RequestMetrics metrics;
@@ -25,7 +25,7 @@
 
     ServiceRoute(
             CallerCheck check,
-            BoundedBody bodies,
+            BoundedBodyCollector bodies,
             EntryGate gate,
             ServiceDispatcher dispatcher,
             RequestMetrics metrics,
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/BoundedBody.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/BoundedBodyCollector.java
@@ -11,7 +11,7 @@
  * Collects a body up to a bound. A sender without end would otherwise fill the memory of an entry VM, and every caller
  * of it would lose its request; with the bound one request fails.
  */
-public final class BoundedBody {
+public final class BoundedBodyCollector {
     private final int maxBytes;
 
     /**
@@ -19,7 +19,7 @@
      *
      * @param maxBytes the longest body that is taken
      */
-    public BoundedBody(int maxBytes) {
+    public BoundedBodyCollector(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpPlainService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpPlainService.java
@@ -7,7 +7,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.HttpMethod;
-import org.dotterelcourse.daemon.http.BoundedBody;
+import org.dotterelcourse.daemon.http.BoundedBodyCollector;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
@@ -19,7 +19,7 @@
 
     private final HttpClient pooled;
     private final HttpClient fresh;
-    private final BoundedBody bodies;
+    private final BoundedBodyCollector bodies;
 
     /**
      * Makes a client with a connection pool of its own.
@@ -30,7 +30,7 @@
     public HttpPlainService(Duration connect, int maxBodyBytes) {
         this.pooled = UpstreamClients.pooled(connect);
         this.fresh = UpstreamClients.fresh(connect);
-        this.bodies = new BoundedBody(maxBodyBytes);
+        this.bodies = new BoundedBodyCollector(maxBodyBytes);
     }
 
     @Override
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientsEdge.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientsEdge.java
@@ -9,7 +9,7 @@
 import io.netty.channel.ChannelFutureListener;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
-import org.dotterelcourse.daemon.http.BoundedBody;
+import org.dotterelcourse.daemon.http.BoundedBodyCollector;
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
@@ -170,7 +170,7 @@
                             .flatMap(body -> serve(request, response, body, arrivalNanos, log));
                 })
                 .takeUntilOther(gone(request))
-                .onErrorResume(BoundedBody.TooLargeException.class, error -> own(response, TOO_LARGE, log))
+                .onErrorResume(BoundedBodyCollector.TooLargeException.class, error -> own(response, TOO_LARGE, log))
                 .doOnError(error -> log.broken(error))
                 .doOnCancel(log::clientGone)
                 .doFinally(signal -> {
@@ -200,7 +200,7 @@
 
     private Mono<byte[]> body(HttpServerRequest request) {
         int most = state.table().map(table -> table.limits().maxBodyBytes()).orElse(MAX_HEADER_BYTES);
-        return new BoundedBody(most).collect(request.receive());
+        return new BoundedBodyCollector(most).collect(request.receive());
     }
 
     private Mono<Void> serve(
