--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatAnswers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatAnswers.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.dotterelcourse.daemon.dispatch.AnswerEvent;
 import org.dotterelcourse.daemon.dispatch.ChatCall;
-import org.dotterelcourse.daemon.http.Problem;
+import org.dotterelcourse.daemon.http.ProblemDetails;
 
 /** Writes answers in the shape of the usual chat completion, in pieces or whole. */
 final class ChatAnswers {
@@ -34,7 +34,7 @@
             text = data(last.toString()) + data("[DONE]");
         } else {
             AnswerEvent.Failed failed = (AnswerEvent.Failed) event;
-            text = "event: error\n" + data(Problem.json(failed.failure(), id));
+            text = "event: error\n" + data(ProblemDetails.json(failed.failure(), id));
         }
         return text.getBytes(StandardCharsets.UTF_8);
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Replies.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Replies.java
@@ -5,7 +5,7 @@
 import io.netty.buffer.Unpooled;
 import org.dotterelcourse.daemon.dispatch.Failure;
 import org.dotterelcourse.daemon.dispatch.Outcome;
-import org.dotterelcourse.daemon.http.Problem;
+import org.dotterelcourse.daemon.http.ProblemDetails;
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
 
@@ -21,10 +21,10 @@
         response.status(failure.status());
         response.header(OUTCOME, failure.outcome().word());
         if (failure.retryAfterNanos() > 0) {
-            response.header("Retry-After", Long.toString(Problem.retryAfterSeconds(failure)));
+            response.header("Retry-After", Long.toString(ProblemDetails.retryAfterSeconds(failure)));
         }
-        byte[] body = Problem.json(failure, requestId).getBytes(StandardCharsets.UTF_8);
-        return bytes(response, Problem.MEDIA_TYPE, body);
+        byte[] body = ProblemDetails.json(failure, requestId).getBytes(StandardCharsets.UTF_8);
+        return bytes(response, ProblemDetails.MEDIA_TYPE, body);
     }
 
     static Mono<Void> answered(HttpServerResponse response, int status, String contentType, byte[] body) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/Problem.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/ProblemDetails.java
@@ -7,13 +7,13 @@
 import org.dotterelcourse.daemon.dispatch.Failure;
 
 /** Writes failures as problem details, after RFC 9457. */
-public final class Problem {
+public final class ProblemDetails {
     /** The media type. */
     public static final String MEDIA_TYPE = "application/problem+json";
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Problem() {}
+    private ProblemDetails() {}
 
     /**
      * Writes a failure.
