--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
@@ -6,7 +6,7 @@
 import org.dotterelcourse.daemon.dispatch.AnswerEvent;
 import org.dotterelcourse.daemon.dispatch.ChatCall;
 import org.dotterelcourse.daemon.dispatch.ChatDispatcher;
-import org.dotterelcourse.daemon.metrics.RequestEnd;
+import org.dotterelcourse.daemon.metrics.RequestEndListener;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
 import org.dotterelcourse.daemon.metrics.RequestWatch;
 import reactor.core.publisher.Flux;
@@ -30,7 +30,7 @@
         this.metrics = metrics;
     }
 
-    Mono<Void> handle(ChatCall call, HttpServerResponse response, RequestEnd ended) {
+    Mono<Void> handle(ChatCall call, HttpServerResponse response, RequestEndListener ended) {
         RequestWatch watch = metrics.watch(call.id(), call.customer(), call.requestClass(), call.arrivalNanos(), ended);
         Flux<AnswerEvent> events = watch.watch(dispatcher.dispatch(call, watch));
         boolean stream = call.body().path("stream").asBoolean(false);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
@@ -8,7 +8,7 @@
 import org.dotterelcourse.daemon.dispatch.Outcome;
 import org.dotterelcourse.daemon.limits.Charge;
 import org.dotterelcourse.daemon.limits.Limits;
-import org.dotterelcourse.daemon.metrics.RequestEnd;
+import org.dotterelcourse.daemon.metrics.RequestEndListener;
 import org.dotterelcourse.daemon.once.OnceGate;
 import reactor.core.publisher.Mono;
 
@@ -36,7 +36,7 @@
     sealed interface Entry {}
 
     /** It may; the end of it is to be told. */
-    record Admitted(RequestEnd end) implements Entry {}
+    record Admitted(RequestEndListener end) implements Entry {}
 
     /** It may not. */
     record Refused(Failure failure) implements Entry {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Refuser.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Refuser.java
@@ -3,7 +3,7 @@
 import java.util.function.Function;
 
 import org.dotterelcourse.daemon.dispatch.Failure;
-import org.dotterelcourse.daemon.metrics.RequestEnd;
+import org.dotterelcourse.daemon.metrics.RequestEndListener;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
 import reactor.core.publisher.Mono;
 
@@ -29,7 +29,7 @@
             String customer,
             String requestClass,
             EntryGate.Entry entry,
-            Function<RequestEnd, Mono<Void>> next) {
+            Function<RequestEndListener, Mono<Void>> next) {
         if (entry instanceof EntryGate.Refused refused) {
             return refuse(exchange, customer, requestClass, refused.failure());
         }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
@@ -6,7 +6,7 @@
 import org.dotterelcourse.daemon.dispatch.ServiceDispatcher;
 import org.dotterelcourse.daemon.dispatch.ServiceRequest;
 import org.dotterelcourse.daemon.http.BoundedBodyCollector;
-import org.dotterelcourse.daemon.metrics.RequestEnd;
+import org.dotterelcourse.daemon.metrics.RequestEndListener;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
 import org.dotterelcourse.daemon.metrics.RequestWatch;
 import reactor.core.publisher.Mono;
@@ -90,7 +90,7 @@
                         end -> answer(exchange, request, end)));
     }
 
-    private Mono<Void> answer(Exchange exchange, ServiceRequest request, RequestEnd end) {
+    private Mono<Void> answer(Exchange exchange, ServiceRequest request, RequestEndListener end) {
         RequestWatch watch =
                 metrics.watch(request.id(), request.customer(), request.requestClass(), request.arrivalNanos(), end);
         Mono<ServiceAnswer> answer = watch.watch(dispatcher.dispatch(request, watch));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestEnd.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestEndListener.java
@@ -4,7 +4,7 @@
 
 /** Hears once how a request ended. */
 @FunctionalInterface
-public interface RequestEnd {
+public interface RequestEndListener {
     /**
      * The request has ended.
      *
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
@@ -63,7 +63,7 @@
      * @return the watch
      */
     public RequestWatch watch(
-            String id, String customer, RequestClass requestClass, long arrivalNanos, RequestEnd ended) {
+            String id, String customer, RequestClass requestClass, long arrivalNanos, RequestEndListener ended) {
         return new RequestWatch(this, id, customer, requestClass, arrivalNanos, ended);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestWatch.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestWatch.java
@@ -24,7 +24,7 @@
     private final String customer;
     private final RequestClass requestClass;
     private final long arrivalNanos;
-    private final RequestEnd listener;
+    private final RequestEndListener listener;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile String worker = "";
     private long firstNanos = -1;
@@ -38,7 +38,7 @@
             String customer,
             RequestClass requestClass,
             long arrivalNanos,
-            RequestEnd listener) {
+            RequestEndListener listener) {
         this.metrics = metrics;
         this.id = id;
         this.customer = customer;
