--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
@@ -8,7 +8,7 @@
 import org.dotterelcourse.daemon.dispatch.ChatDispatcher;
 import org.dotterelcourse.daemon.metrics.RequestEndListener;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
-import org.dotterelcourse.daemon.metrics.RequestWatch;
+import org.dotterelcourse.daemon.metrics.RequestTracker;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Signal;
@@ -31,7 +31,7 @@
     }
 
     Mono<Void> handle(ChatCall call, HttpServerResponse response, RequestEndListener ended) {
-        RequestWatch watch = metrics.watch(call.id(), call.customer(), call.requestClass(), call.arrivalNanos(), ended);
+        RequestTracker watch = metrics.watch(call.id(), call.customer(), call.requestClass(), call.arrivalNanos(), ended);
         Flux<AnswerEvent> events = watch.watch(dispatcher.dispatch(call, watch));
         boolean stream = call.body().path("stream").asBoolean(false);
         return stream ? stream(call, events, response) : whole(call, events, response);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
@@ -8,7 +8,7 @@
 import org.dotterelcourse.daemon.http.BoundedBodyCollector;
 import org.dotterelcourse.daemon.metrics.RequestEndListener;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
-import org.dotterelcourse.daemon.metrics.RequestWatch;
+import org.dotterelcourse.daemon.metrics.RequestTracker;
 import reactor.core.publisher.Mono;
 
 /** Checks calls to plain services, passes them through and passes the answers back. */
@@ -91,7 +91,7 @@
     }
 
     private Mono<Void> answer(Exchange exchange, ServiceRequest request, RequestEndListener end) {
-        RequestWatch watch =
+        RequestTracker watch =
                 metrics.watch(request.id(), request.customer(), request.requestClass(), request.arrivalNanos(), end);
         Mono<ServiceAnswer> answer = watch.watch(dispatcher.dispatch(request, watch));
         return answer.flatMap(result -> {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
@@ -62,9 +62,9 @@
      * @param ended to be told once how it ended
      * @return the watch
      */
-    public RequestWatch watch(
+    public RequestTracker watch(
             String id, String customer, RequestClass requestClass, long arrivalNanos, RequestEndListener ended) {
-        return new RequestWatch(this, id, customer, requestClass, arrivalNanos, ended);
+        return new RequestTracker(this, id, customer, requestClass, arrivalNanos, ended);
     }
 
     /**
@@ -91,7 +91,7 @@
         MDC.clear();
     }
 
-    void ended(RequestWatch request, Outcome outcome, String reason) {
+    void ended(RequestTracker request, Outcome outcome, String reason) {
         String prefix = "class." + request.requestClass() + ".";
         registry.counter(prefix + "outcome." + outcome.word()).inc();
         boolean answered = outcome instanceof Outcome.Answered;
@@ -105,7 +105,7 @@
         log(request, outcome, reason, attained);
     }
 
-    private static void log(RequestWatch request, Outcome outcome, String reason, boolean attained) {
+    private static void log(RequestTracker request, Outcome outcome, String reason, boolean attained) {
         MDC.put("requestId", request.id());
         MDC.put("class", request.requestClass());
         MDC.put("customer", request.customer());
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestWatch.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestTracker.java
@@ -15,7 +15,7 @@
  * Watches one request from its arrival to its end, and hands what was seen to {@link RequestMetrics} exactly once, also
  * when its caller goes away.
  */
-public final class RequestWatch implements WorkerListener {
+public final class RequestTracker implements WorkerListener {
     /** The share of intervals between tokens that may be over the target: 95 in 100 are to be within. */
     private static final double LATE_INTERVALS_ALLOWED = 0.05;
 
@@ -32,7 +32,7 @@
     private int tokens;
     private int lateIntervals;
 
-    RequestWatch(
+    RequestTracker(
             RequestMetrics metrics,
             String id,
             String customer,
