--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
@@ -31,8 +31,9 @@
     }
 
     Mono<Void> handle(ChatCall call, HttpServerResponse response, RequestEndListener ended) {
-        RequestTracker watch = metrics.watch(call.id(), call.customer(), call.requestClass(), call.arrivalNanos(), ended);
-        Flux<AnswerEvent> events = watch.watch(dispatcher.dispatch(call, watch));
+        RequestTracker watch =
+                metrics.track(call.id(), call.customer(), call.requestClass(), call.arrivalNanos(), ended);
+        Flux<AnswerEvent> events = watch.track(dispatcher.dispatch(call, watch));
         boolean stream = call.body().path("stream").asBoolean(false);
         return stream ? stream(call, events, response) : whole(call, events, response);
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
@@ -92,8 +92,8 @@
 
     private Mono<Void> answer(Exchange exchange, ServiceRequest request, RequestEndListener end) {
         RequestTracker watch =
-                metrics.watch(request.id(), request.customer(), request.requestClass(), request.arrivalNanos(), end);
-        Mono<ServiceAnswer> answer = watch.watch(dispatcher.dispatch(request, watch));
+                metrics.track(request.id(), request.customer(), request.requestClass(), request.arrivalNanos(), end);
+        Mono<ServiceAnswer> answer = watch.track(dispatcher.dispatch(request, watch));
         return answer.flatMap(result -> {
             if (result instanceof ServiceAnswer.Answered answered) {
                 return Replies.answered(
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
@@ -62,7 +62,7 @@
      * @param ended to be told once how it ended
      * @return the watch
      */
-    public RequestTracker watch(
+    public RequestTracker track(
             String id, String customer, RequestClass requestClass, long arrivalNanos, RequestEndListener ended) {
         return new RequestTracker(this, id, customer, requestClass, arrivalNanos, ended);
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestTracker.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestTracker.java
@@ -53,7 +53,7 @@
      * @param events the answer's events
      * @return the same events
      */
-    public Flux<AnswerEvent> watch(Flux<AnswerEvent> events) {
+    public Flux<AnswerEvent> track(Flux<AnswerEvent> events) {
         return events.doOnNext(this::saw).doOnCancel(() -> end(new Outcome.Unknown(), "cancelled"));
     }
 
@@ -63,7 +63,7 @@
      * @param answer the answer
      * @return the same answer
      */
-    public Mono<ServiceAnswer> watch(Mono<ServiceAnswer> answer) {
+    public Mono<ServiceAnswer> track(Mono<ServiceAnswer> answer) {
         return answer.doOnNext(this::saw).doOnCancel(() -> end(new Outcome.Unknown(), "cancelled"));
     }
 
