--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Refuser.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Refuser.java
@@ -37,7 +37,7 @@
     }
 
     private Mono<Void> refuse(Exchange exchange, String customer, String requestClass, Failure failure) {
-        metrics.refused(exchange.id(), customer, requestClass, failure);
+        metrics.recordRefusal(exchange.id(), customer, requestClass, failure);
         return Replies.problem(exchange.response(), failure, exchange.id());
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
@@ -75,7 +75,7 @@
      * @param requestClass its class, empty if it is not known
      * @param failure what its caller is told
      */
-    public void refused(String id, String customer, String requestClass, Failure failure) {
+    public void recordRefusal(String id, String customer, String requestClass, Failure failure) {
         registry.counter("refused." + failure.status()).inc();
         if (!requestClass.isEmpty()) {
             registry.counter("class." + requestClass + ".outcome."
