--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/ChannelCounters.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/ChannelCounters.java
@@ -5,27 +5,27 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts messages and bytes of each channel; written by the event loop, read by anyone. */
+/** Counts messages and bytes per channel. Safe for use by any thread. */
 final class ChannelCounters {
 
     private static final int MAX_CHANNELS = 32;
-    private static final String OTHER = "other";
+    private static final String OTHER_CHANNELS = "other";
 
     private final Map<String, Counter> counters = new ConcurrentHashMap<>();
 
-    void sent(String channel, int bytes) {
+    void recordSent(String channel, int bytes) {
         Counter counter = counter(channel);
         counter.sentMessages.increment();
         counter.sentBytes.add(bytes);
     }
 
-    void received(String channel, int bytes) {
+    void recordReceived(String channel, int bytes) {
         Counter counter = counter(channel);
         counter.receivedMessages.increment();
         counter.receivedBytes.add(bytes);
     }
 
-    void dropped(String channel) {
+    void recordDropped(String channel) {
         counter(channel).dropped.increment();
     }
 
@@ -35,13 +35,16 @@
         return counts;
     }
 
-    /** A peer may send any channel name: without this bound a broken one would fill the memory with counters. */
+    /**
+     * Returns the counter of a channel, creating it if necessary. Peers choose the channel names; without a limit a
+     * faulty peer could exhaust the memory with counters.
+     */
     private Counter counter(String channel) {
-        Counter known = counters.get(channel);
-        if (known != null) {
-            return known;
+        Counter existing = counters.get(channel);
+        if (existing != null) {
+            return existing;
         }
-        String name = counters.size() < MAX_CHANNELS ? channel : OTHER;
+        String name = counters.size() < MAX_CHANNELS ? channel : OTHER_CHANNELS;
         return counters.computeIfAbsent(name, ignored -> new Counter());
     }
 
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/DatagramReader.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/DatagramReader.java
@@ -7,7 +7,7 @@
 import io.netty.channel.socket.DatagramPacket;
 import org.dotterelcourse.coordination.transport.generated.Envelope;
 
-/** Reads envelopes from datagrams, one each. */
+/** Decodes the envelopes of incoming datagrams, one envelope per datagram. */
 final class DatagramReader extends SimpleChannelInboundHandler<DatagramPacket> {
 
     private final PeerTransport transport;
@@ -16,21 +16,21 @@
         this.transport = transport;
     }
 
-    /** Anyone can send a datagram: one that is no envelope is reported and left, and the socket reads on. */
+    /** Reports and skips malformed datagrams: any host can send one, and the socket must keep reading. */
     @Override
     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) throws Exception {
         int bytes = packet.content().readableBytes();
         try (ByteBufInputStream stream = new ByteBufInputStream(packet.content())) {
             Envelope envelope = Envelope.parseFrom(stream);
-            transport.counters().received(envelope.getChannel(), bytes);
+            transport.counters().recordReceived(envelope.getChannel(), bytes);
             transport.deliver(envelope, packet.sender(), true);
         } catch (InvalidProtocolBufferException e) {
-            transport.failed(e);
+            transport.reportFailure(e);
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        transport.failed(cause);
+        transport.reportFailure(cause);
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/EnvelopeFrames.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/EnvelopeFrames.java
@@ -12,11 +12,11 @@
 import io.netty.handler.codec.TooLongFrameException;
 import org.dotterelcourse.coordination.transport.generated.Envelope;
 
-/** Envelopes on a byte stream, each behind its length as a varint, as protobuf's own delimited form has it. */
+/** Codec for envelopes on a byte stream in protobuf's delimited format: a varint length before each envelope. */
 final class EnvelopeFrames extends ByteToMessageCodec<Envelope> {
 
-    /** Room for the sender, the channel and the field tags around a body. */
-    static final int ENVELOPE_ROOM = 1_024;
+    /** Upper bound for the encoded sender, channel and field tags of an envelope. */
+    static final int ENVELOPE_OVERHEAD_BYTES = 1_024;
 
     private static final int MAX_VARINT_BYTES = 5;
     private static final int VARINT_BITS = 7;
@@ -25,7 +25,7 @@
     private final int maxFrameBytes;
 
     EnvelopeFrames(int maxBodyBytes) {
-        maxFrameBytes = maxBodyBytes + ENVELOPE_ROOM;
+        maxFrameBytes = maxBodyBytes + ENVELOPE_OVERHEAD_BYTES;
     }
 
     static int frameBytes(Envelope envelope) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Returns -1 when the length has not arrived whole. */
+    /** Reads the length of the next frame; returns -1 if it has not arrived completely. */
     private int readLength(ByteBuf in) {
         int length = 0;
         for (int i = 0; i < MAX_VARINT_BYTES; i++) {
@@ -64,16 +64,19 @@
             byte next = in.readByte();
             length |= (next & VARINT_MASK) << (VARINT_BITS * i);
             if (next >= 0) {
-                return checked(length);
+                return requireAllowedLength(length);
             }
         }
-        throw new CorruptedFrameException("length longer than " + MAX_VARINT_BYTES + " bytes");
+        throw new CorruptedFrameException("frame length encoded in more than " + MAX_VARINT_BYTES + " bytes");
     }
 
-    /** A corrupt or hostile length would make the process buffer without end; the connection is closed instead. */
-    private int checked(int length) {
+    /**
+     * Rejects lengths outside the limit, so that the connection is closed. Without this, a corrupt or hostile length
+     * would make the process buffer an unbounded amount of data.
+     */
+    private int requireAllowedLength(int length) {
         if (length < 0 || length > maxFrameBytes) {
-            throw new TooLongFrameException("frame of " + length + " bytes, limit " + maxFrameBytes);
+            throw new TooLongFrameException("frame of " + length + " bytes exceeds the limit of " + maxFrameBytes);
         }
         return length;
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerConnection.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerConnection.java
@@ -13,10 +13,12 @@
 import org.dotterelcourse.coordination.transport.generated.Hello;
 
 /**
- * One TCP connection. A middlebox that has lost track of a connection swallows its bytes without closing it: writes
- * still succeed and calls hang. Each side therefore sends heartbeats that carry how many envelopes it has read. A side
- * whose own envelopes stay unconfirmed for a while closes the connection, and the next message opens a new one. A cut
- * in either direction alone is noticed too: either what is sent or its confirmation is lost.
+ * Handles one TCP connection to a peer and detects with heartbeats that it no longer delivers data.
+ *
+ * <p>A middlebox that has lost the state of a connection discards its bytes without closing it: writes still succeed
+ * and calls hang. Each side therefore sends heartbeats that carry the number of envelopes it has read. If a side's
+ * envelopes remain unconfirmed for too long, it closes the connection, and the next message opens a new one. This also
+ * covers loss in one direction only, since either the envelopes or their confirmations are lost.
  */
 final class PeerConnection extends SimpleChannelInboundHandler<Envelope> {
 
@@ -26,7 +28,7 @@
     private final PeerTransport transport;
     private final TransportLimits limits;
     private final boolean outbound;
-    private final boolean fresh;
+    private final boolean replacement;
     private InetSocketAddress peer;
     private Channel channel;
     private ScheduledFuture<?> heartbeats;
@@ -37,25 +39,31 @@
     private long unconfirmedSinceNanos;
     private boolean retired;
 
-    /** An outbound connection knows its peer; an inbound one learns the peer's port from the hello. */
-    PeerConnection(PeerTransport transport, InetSocketAddress peer, boolean fresh) {
-        this.fresh = fresh;
+    /**
+     * Creates the handler of a connection that is about to open.
+     *
+     * @param transport the transport that owns the connection
+     * @param peer the peer port to connect to; null for an inbound connection, whose hello announces the port
+     * @param replacement whether this connection replaces one that may no longer deliver data
+     */
+    PeerConnection(PeerTransport transport, InetSocketAddress peer, boolean replacement) {
+        this.replacement = replacement;
         this.transport = transport;
         this.limits = transport.limits();
         this.peer = peer;
         this.outbound = peer != null;
     }
 
-    boolean outbound() {
+    boolean isOutbound() {
         return outbound;
     }
 
-    /** Whether this one replaces another that is doubted. */
-    boolean fresh() {
-        return fresh;
+    /** Returns whether this connection replaces one that may no longer deliver data. */
+    boolean isReplacement() {
+        return replacement;
     }
 
-    boolean writable() {
+    boolean isWritable() {
         return channel.isWritable();
     }
 
@@ -64,24 +72,26 @@
             unconfirmedSinceNanos = transport.nanoTime();
         }
         sent++;
-        transport.counters().sent(envelope.getChannel(), EnvelopeFrames.frameBytes(envelope));
+        transport.counters().recordSent(envelope.getChannel(), EnvelopeFrames.frameBytes(envelope));
         channel.writeAndFlush(envelope, channel.voidPromise());
     }
 
-    /** Writes a message of one of the state machines, which keeps the connection open. */
+    /** Writes an application message. Unlike a hello or a heartbeat it resets the idle timeout. */
     void writeMessage(Envelope envelope) {
         lastMessageNanos = transport.nanoTime();
         write(envelope);
     }
 
-    /** Another connection is used from now on; this one is read for one more heartbeat's time, then closed. */
+    /** Marks the connection as replaced: it is still read until the next heartbeat is due, then closed. */
     void retire() {
         retired = true;
     }
 
-    void hello() {
-        Hello hello =
-                Hello.newBuilder().setPort(transport.port()).setFresh(fresh).build();
+    void sendHello() {
+        Hello hello = Hello.newBuilder()
+                .setPort(transport.port())
+                .setFresh(replacement)
+                .build();
         write(transport.envelope(HELLO, hello.toByteString()));
     }
 
@@ -90,22 +100,23 @@
         channel = context.channel();
         lastMessageNanos = transport.nanoTime();
         long period = limits.heartbeatNanos();
-        heartbeats = context.executor().scheduleWithFixedDelay(this::beat, period, period, TimeUnit.NANOSECONDS);
-        transport.opened(this, peer);
+        heartbeats = context.executor()
+                .scheduleWithFixedDelay(this::checkAndSendHeartbeat, period, period, TimeUnit.NANOSECONDS);
+        transport.onOpened(this, peer);
         super.channelActive(context);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) throws Exception {
         heartbeats.cancel(false);
-        transport.closed(this, peer);
+        transport.onClosed(this, peer);
         super.channelInactive(context);
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) throws Exception {
         if (channel.isWritable() && peer != null) {
-            transport.link(peer).drain();
+            transport.link(peer).flushQueue();
         }
         super.channelWritabilityChanged(context);
     }
@@ -113,31 +124,31 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, Envelope envelope) throws Exception {
         received++;
-        transport.counters().received(envelope.getChannel(), EnvelopeFrames.frameBytes(envelope));
+        transport.counters().recordReceived(envelope.getChannel(), EnvelopeFrames.frameBytes(envelope));
         switch (envelope.getChannel()) {
-            case HELLO -> greeted(Hello.parseFrom(envelope.getBody()));
-            case HEARTBEAT -> confirm(envelope);
+            case HELLO -> handleHello(Hello.parseFrom(envelope.getBody()));
+            case HEARTBEAT -> handleHeartbeat(envelope);
             default -> deliver(envelope);
         }
     }
 
-    /** A frame that can't be read leaves the stream out of step: the connection is closed, never resumed. */
+    /** Closes the connection: after a malformed frame the start of the next one can't be found. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        transport.failed(cause);
+        transport.reportFailure(cause);
         context.close();
     }
 
-    private void greeted(Hello hello) {
+    private void handleHello(Hello hello) {
         if (outbound) {
             return;
         }
         InetSocketAddress remote = (InetSocketAddress) channel.remoteAddress();
         peer = new InetSocketAddress(remote.getAddress(), hello.getPort());
-        transport.link(peer).adopt(this, hello.getFresh());
+        transport.link(peer).onInboundConnection(this, hello.getFresh());
     }
 
-    private void confirm(Envelope envelope) throws InvalidProtocolBufferException {
+    private void handleHeartbeat(Envelope envelope) throws InvalidProtocolBufferException {
         long count = Heartbeat.parseFrom(envelope.getBody()).getReceived();
         if (count > confirmed) {
             confirmed = count;
@@ -154,14 +165,14 @@
         transport.deliver(envelope, peer, false);
     }
 
-    private void beat() {
+    private void checkAndSendHeartbeat() {
         long now = transport.nanoTime();
         if (retired) {
             channel.close();
-        } else if (silent(now)) {
-            transport.silent();
+        } else if (isSilent(now)) {
+            transport.recordSilentConnection();
             channel.close();
-        } else if (now - lastMessageNanos > limits.idleNanos()) {
+        } else if (now - lastMessageNanos > limits.idleTimeoutNanos()) {
             channel.close();
         } else {
             Heartbeat heartbeat = Heartbeat.newBuilder().setReceived(received).build();
@@ -169,8 +180,11 @@
         }
     }
 
-    /** Each side sends heartbeats, so that there is always something to confirm, whichever direction is cut. */
-    private boolean silent(long now) {
-        return sent > confirmed && now - unconfirmedSinceNanos > limits.silenceNanos();
+    /**
+     * Returns whether the peer has confirmed nothing for too long. Heartbeats are confirmed like messages, so there is
+     * always an envelope to confirm, even if only one direction is interrupted.
+     */
+    private boolean isSilent(long now) {
+        return sent > confirmed && now - unconfirmedSinceNanos > limits.silenceTimeoutNanos();
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerHandler.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerHandler.java
@@ -1,11 +1,11 @@
 package org.dotterelcourse.coordination.transport;
 
-/** Takes the messages of one channel. Called on the transport's single thread, so it needs no locks. */
+/** Handles the messages of one channel. Called only on the transport's thread, so it needs no locks. */
 @FunctionalInterface
 public interface PeerHandler {
 
     /**
-     * Takes one message. It must not block: while it runs, no other message is read.
+     * Handles one message. Must not block: no other message is read while it runs.
      *
      * @param message the message with its sender
      */
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerLink.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerLink.java
@@ -7,124 +7,135 @@
 import org.dotterelcourse.coordination.transport.generated.Envelope;
 
 /**
- * The way to one peer: the connection in use, the messages that wait for one, and the pace of attempts to connect. The
- * queue is bounded in number and in age: a peer that is away must cost neither memory nor, once it is back, a burst of
- * messages that nobody waits for any more.
+ * Manages the TCP connections to one peer: the connection in use, the queue of unsent messages, and reconnection with
+ * randomized exponential backoff. The queue is bounded in length and in age, so that an unreachable peer neither uses
+ * unbounded memory nor receives a burst of outdated messages once it is reachable again.
  */
 final class PeerLink {
 
     private final PeerTransport transport;
     private final TransportLimits limits;
     private final InetSocketAddress peer;
-    private final Deque<Waiting> queue = new ArrayDeque<>();
+    private final Deque<QueuedEnvelope> queue = new ArrayDeque<>();
     private PeerConnection current;
     private boolean connecting;
     private boolean waitingToRetry;
-    private final Deque<Envelope> freshQueue = new ArrayDeque<>();
-    private boolean freshConnecting;
+    private final Deque<Envelope> replacementQueue = new ArrayDeque<>();
+    private boolean connectingReplacement;
     private long backoffNanos;
 
     PeerLink(PeerTransport transport, InetSocketAddress peer) {
         this.transport = transport;
         this.limits = transport.limits();
         this.peer = peer;
-        this.backoffNanos = limits.backoffNanos();
+        this.backoffNanos = limits.initialBackoffNanos();
     }
 
     void send(Envelope envelope) {
-        if (queue.size() >= limits.queueMessages()) {
+        if (queue.size() >= limits.maxQueuedMessages()) {
             drop(queue.removeFirst());
         }
-        queue.addLast(new Waiting(envelope, transport.nanoTime()));
-        drain();
+        queue.addLast(new QueuedEnvelope(envelope, transport.nanoTime()));
+        flushQueue();
     }
 
     /**
-     * Sends on a new connection. A connection that has gone silent makes a healthy peer look dead; so the last word
-     * before a suspicion goes by a connection that nothing between the two ends can have forgotten. The kept connection
-     * stays until the new one is there, and is then read to its end: most doubts are unfounded, and what others have
-     * under way on it must not be lost for a single lost datagram.
+     * Sends an envelope on a new connection, which then replaces the current one. Used for the last probe before a peer
+     * is suspected: if a middlebox has lost the state of the current connection, a healthy peer would look dead.
+     *
+     * <p>The current connection stays in use until the new one is open, and is then read for one more heartbeat period.
+     * Most such probes follow a single lost datagram, which must not cost the messages in flight on the current
+     * connection.
      */
     void sendOnNewConnection(Envelope envelope) {
-        if (freshQueue.size() >= limits.queueMessages()) {
-            transport.counters().dropped(freshQueue.removeFirst().getChannel());
+        if (replacementQueue.size() >= limits.maxQueuedMessages()) {
+            transport.counters().recordDropped(replacementQueue.removeFirst().getChannel());
         }
-        freshQueue.addLast(envelope);
-        if (!freshConnecting) {
-            freshConnecting = true;
+        replacementQueue.addLast(envelope);
+        if (!connectingReplacement) {
+            connectingReplacement = true;
             transport.connect(peer, true);
         }
     }
 
-    void drain() {
-        dropAged();
+    void flushQueue() {
+        dropExpired();
         if (current == null) {
             connect();
             return;
         }
-        while (!queue.isEmpty() && current.writable()) {
+        while (!queue.isEmpty() && current.isWritable()) {
             current.writeMessage(queue.removeFirst().envelope);
         }
     }
 
-    void connected(PeerConnection connection) {
-        backoffNanos = limits.backoffNanos();
-        connection.hello();
-        if (connection.fresh()) {
-            freshConnecting = false;
-            while (!freshQueue.isEmpty()) {
-                connection.writeMessage(freshQueue.removeFirst());
+    void onConnected(PeerConnection connection) {
+        backoffNanos = limits.initialBackoffNanos();
+        connection.sendHello();
+        if (connection.isReplacement()) {
+            connectingReplacement = false;
+            while (!replacementQueue.isEmpty()) {
+                connection.writeMessage(replacementQueue.removeFirst());
             }
         } else {
             connecting = false;
         }
-        replace(connection);
+        switchTo(connection);
     }
 
     /**
-     * Takes a connection that the peer opened. When both sides open one at the same time, each keeps its own, so that
-     * neither closes the other's; a fresh one always wins, since its opener doubts the old one.
+     * Decides whether to use a connection that the peer opened. If both sides connect at the same time, each keeps its
+     * own connection, so that neither closes the other's. A replacement is always used, since the peer no longer trusts
+     * the old connection.
+     *
+     * @param connection the inbound connection
+     * @param peerRequestsReplacement whether the peer opened it to replace the current one
      */
-    void adopt(PeerConnection connection, boolean peerDoubtsOld) {
-        if (current == null || !current.outbound() || peerDoubtsOld) {
-            replace(connection);
+    void onInboundConnection(PeerConnection connection, boolean peerRequestsReplacement) {
+        if (current == null || !current.isOutbound() || peerRequestsReplacement) {
+            switchTo(connection);
         }
     }
 
-    /** The connection attempt failed: waits, and doubles the wait for the next time. */
-    void connectFailed(boolean fresh) {
-        if (fresh) {
-            freshConnecting = false;
-            freshQueue.forEach(envelope -> transport.counters().dropped(envelope.getChannel()));
-            freshQueue.clear();
+    /**
+     * Handles a failed connection attempt. A replacement is not retried and its messages are dropped; otherwise the next
+     * attempt follows after the backoff, which is then doubled.
+     *
+     * @param replacement whether the connection was to replace the current one
+     */
+    void onConnectFailed(boolean replacement) {
+        if (replacement) {
+            connectingReplacement = false;
+            replacementQueue.forEach(envelope -> transport.counters().recordDropped(envelope.getChannel()));
+            replacementQueue.clear();
             return;
         }
         connecting = false;
         waitingToRetry = true;
-        long wait = backoffNanos / 2 + transport.random().nextLong(backoffNanos / 2 + 1);
-        backoffNanos = Math.min(2 * backoffNanos, limits.backoffCeilingNanos());
-        transport.schedule(this::retry, wait);
+        long delayNanos = backoffNanos / 2 + transport.random().nextLong(backoffNanos / 2 + 1);
+        backoffNanos = Math.min(2 * backoffNanos, limits.maxBackoffNanos());
+        transport.schedule(this::retry, delayNanos);
     }
 
-    void closed(PeerConnection connection) {
+    void onClosed(PeerConnection connection) {
         if (current == connection) {
             current = null;
-            drain();
+            flushQueue();
         }
     }
 
-    /** Whether nothing would be lost by forgetting this link. */
-    boolean idle() {
-        return current == null && queue.isEmpty() && !freshConnecting && !connecting && !waitingToRetry;
+    /** Returns whether the link has no connection, no queued messages and no pending attempt, and can be evicted. */
+    boolean isIdle() {
+        return current == null && queue.isEmpty() && !connectingReplacement && !connecting && !waitingToRetry;
     }
 
-    private void replace(PeerConnection connection) {
+    private void switchTo(PeerConnection connection) {
         PeerConnection old = current;
         current = connection;
         if (old != null && old != connection) {
             old.retire();
         }
-        drain();
+        flushQueue();
     }
 
     private void connect() {
@@ -137,19 +148,19 @@
 
     private void retry() {
         waitingToRetry = false;
-        drain();
+        flushQueue();
     }
 
-    private void dropAged() {
+    private void dropExpired() {
         long now = transport.nanoTime();
-        while (!queue.isEmpty() && now - queue.peekFirst().sinceNanos > limits.queueAgeNanos()) {
+        while (!queue.isEmpty() && now - queue.peekFirst().enqueuedNanos > limits.maxQueueAgeNanos()) {
             drop(queue.removeFirst());
         }
     }
 
-    private void drop(Waiting waiting) {
-        transport.counters().dropped(waiting.envelope.getChannel());
+    private void drop(QueuedEnvelope queued) {
+        transport.counters().recordDropped(queued.envelope.getChannel());
     }
 
-    private record Waiting(Envelope envelope, long sinceNanos) {}
+    private record QueuedEnvelope(Envelope envelope, long enqueuedNanos) {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerMessage.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerMessage.java
@@ -5,11 +5,11 @@
 import org.dotterelcourse.coordination.MemberId;
 
 /**
- * A message from another process.
+ * A message received from another process.
  *
- * @param sender the process that sent it, by its own word
- * @param from the peer port of the sender, where an answer goes
- * @param datagram whether it came by UDP
- * @param body the channel's own encoding
+ * @param sender the identity that the sender put into the envelope; not authenticated
+ * @param from address of the sender's peer port, for replies
+ * @param datagram whether the message was received by UDP
+ * @param body the message in the channel's own encoding
  */
 public record PeerMessage(MemberId sender, InetSocketAddress from, boolean datagram, byte[] body) {}
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerSockets.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerSockets.java
@@ -17,12 +17,12 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** The sockets of a transport: one for TCP and one for UDP on the same port number, and connections to peers. */
+/** Binds the TCP and UDP sockets of a transport to one port number and opens connections to peers. */
 final class PeerSockets {
 
-    private static final int BIND_ATTEMPTS = 20;
+    private static final int MAX_BIND_ATTEMPTS = 20;
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
-    private static final int DATAGRAM_BUFFER = 1 << 20;
+    private static final int DATAGRAM_RECEIVE_BUFFER_BYTES = 1 << 20;
 
     private final PeerTransport transport;
     private final EventLoopGroup group;
@@ -39,30 +39,33 @@
         return port;
     }
 
-    /** With port 0 the system picks the TCP port; UDP may find the same number taken, and both start over. */
+    /**
+     * Binds both sockets. With port 0 the system selects the TCP port; if that number is taken for UDP, both are bound
+     * again.
+     */
     void bind(InetSocketAddress address) throws IOException {
-        int attempts = address.getPort() == 0 ? BIND_ATTEMPTS : 1;
-        IOException last = null;
+        int attempts = address.getPort() == 0 ? MAX_BIND_ATTEMPTS : 1;
+        IOException lastFailure = null;
         for (int i = 0; i < attempts; i++) {
-            last = tryBind(address);
-            if (last == null) {
+            lastFailure = tryBind(address);
+            if (lastFailure == null) {
                 return;
             }
         }
-        throw last;
+        throw lastFailure;
     }
 
     void connect(InetSocketAddress peer, PeerConnection connection) {
-        ChannelFuture attempt = new Bootstrap()
+        ChannelFuture connectFuture = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(pipeline(connection))
                 .connect(peer);
-        attempt.addListener(result -> {
+        connectFuture.addListener(result -> {
             if (!result.isSuccess()) {
-                transport.link(peer).connectFailed(connection.fresh());
+                transport.link(peer).onConnectFailed(connection.isReplacement());
             }
         });
     }
@@ -71,7 +74,7 @@
         udp.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to), udp.voidPromise());
     }
 
-    /** Closes the two sockets that peers reach this process by. */
+    /** Closes the listening sockets; connections to peers stay open. */
     void close() {
         if (udp != null) {
             tcp.close().awaitUninterruptibly();
@@ -80,19 +83,19 @@
     }
 
     private IOException tryBind(InetSocketAddress address) {
-        ChannelFuture tcpBound = bindTcp(address).awaitUninterruptibly();
-        if (!tcpBound.isSuccess()) {
-            return new IOException("TCP " + address, tcpBound.cause());
+        ChannelFuture tcpFuture = bindTcp(address).awaitUninterruptibly();
+        if (!tcpFuture.isSuccess()) {
+            return new IOException("cannot bind TCP " + address, tcpFuture.cause());
         }
-        Channel listener = tcpBound.channel();
+        Channel listener = tcpFuture.channel();
         InetSocketAddress bound = (InetSocketAddress) listener.localAddress();
-        ChannelFuture udpBound = bindUdp(bound).awaitUninterruptibly();
-        if (!udpBound.isSuccess()) {
+        ChannelFuture udpFuture = bindUdp(bound).awaitUninterruptibly();
+        if (!udpFuture.isSuccess()) {
             listener.close().awaitUninterruptibly();
-            return new IOException("UDP " + bound, udpBound.cause());
+            return new IOException("cannot bind UDP " + bound, udpFuture.cause());
         }
         tcp = listener;
-        udp = udpBound.channel();
+        udp = udpFuture.channel();
         port = bound.getPort();
         return null;
     }
@@ -111,18 +114,18 @@
         return new Bootstrap()
                 .group(group)
                 .channel(NioDatagramChannel.class)
-                .option(ChannelOption.SO_RCVBUF, DATAGRAM_BUFFER)
+                .option(ChannelOption.SO_RCVBUF, DATAGRAM_RECEIVE_BUFFER_BYTES)
                 .handler(new DatagramReader(transport))
                 .bind(address);
     }
 
-    /** The pipeline of one connection; an inbound one gets a new end for each connection. */
+    /** Creates the pipeline of a connection; each accepted connection gets a handler of its own. */
     private ChannelInitializer<SocketChannel> pipeline(PeerConnection outbound) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel channel) {
-                PeerConnection end = outbound == null ? new PeerConnection(transport, null, false) : outbound;
-                channel.pipeline().addLast(new EnvelopeFrames(transport.limits().messageBytes()), end);
+                PeerConnection handler = outbound == null ? new PeerConnection(transport, null, false) : outbound;
+                channel.pipeline().addLast(new EnvelopeFrames(transport.limits().maxMessageBytes()), handler);
             }
         };
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransport.java
@@ -21,35 +21,35 @@
 import org.dotterelcourse.coordination.transport.generated.Envelope;
 
 /**
- * Messages between processes over TCP and UDP on one port number. Everything runs on one thread: handlers are called on
- * it, and so are the tasks given to {@link #execute} and {@link #schedulePeriodically}, so that state machines need no locks. Delivery
- * is best effort: a message may be lost when a connection breaks, but it is never changed, cut or merged.
+ * Exchanges messages with other processes over TCP and UDP on one port number. Handlers and scheduled tasks run on a
+ * single thread, so that state machines need no locks. Delivery is best effort: a message may be lost when a connection
+ * breaks, but it is never altered, truncated or merged with another.
  */
 public final class PeerTransport implements AutoCloseable {
 
-    private static final int LINK_BOUND = 2_048;
-    private static final long CLOSE_SECONDS = 5;
+    private static final int LINK_EVICTION_THRESHOLD = 2_048;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
 
-    private final InetSocketAddress bind;
+    private final InetSocketAddress bindAddress;
     private final TransportLimits limits;
     private final RandomGenerator random;
-    private final Consumer<Throwable> failures;
+    private final Consumer<Throwable> failureListener;
     private final Optional<MultiThreadIoEventLoopGroup> ownGroup;
     private final EventLoop loop;
     private final ChannelCounters counters = new ChannelCounters();
     private final Map<String, PeerHandler> handlers = new ConcurrentHashMap<>();
     private final Map<InetSocketAddress, PeerLink> links = new HashMap<>();
-    private final AtomicLong silences = new AtomicLong();
+    private final AtomicLong silentConnections = new AtomicLong();
     private volatile MemberId self;
     private volatile double datagramLoss;
     private volatile boolean closed;
     private final PeerSockets sockets;
 
     PeerTransport(PeerTransportBuilder builder) {
-        bind = builder.bind;
+        bindAddress = builder.bindAddress;
         limits = builder.limits;
         random = builder.random;
-        failures = builder.failures;
+        failureListener = builder.failureListener;
         self = builder.self;
         ownGroup = builder.loop == null ? Optional.of(newGroup(self)) : Optional.empty();
         loop = ownGroup.isPresent() ? ownGroup.get().next() : builder.loop;
@@ -62,23 +62,23 @@
     }
 
     /**
-     * Starts the description of a transport.
+     * Returns a builder of transports.
      *
-     * @return a builder
+     * @return a new builder
      */
     public static PeerTransportBuilder builder() {
         return new PeerTransportBuilder();
     }
 
     /**
-     * Binds both sockets.
+     * Binds both sockets. If that fails, the transport is closed.
      *
      * @return this transport
-     * @throws UncheckedIOException when the port is taken
+     * @throws UncheckedIOException if a socket can't be bound, for example because the port is taken
      */
     public PeerTransport start() {
         try {
-            sockets.bind(bind);
+            sockets.bind(bindAddress);
         } catch (IOException e) {
             close();
             throw new UncheckedIOException(e);
@@ -87,7 +87,7 @@
     }
 
     /**
-     * The port that both sockets are bound to.
+     * Returns the port that both sockets are bound to.
      *
      * @return the port number, 0 before the start
      */
@@ -96,69 +96,71 @@
     }
 
     /**
-     * The address that both sockets are bound to.
+     * Returns the address that both sockets are bound to.
      *
-     * @return IP number and port
+     * @return IP address and port; port 0 before the start
      */
     public InetSocketAddress address() {
-        return new InetSocketAddress(bind.getAddress(), sockets.port());
+        return new InetSocketAddress(bindAddress.getAddress(), sockets.port());
     }
 
     /**
-     * Sets the identity that envelopes carry from now on.
+     * Replaces the identity that later envelopes carry as their sender.
      *
-     * @param identity name and incarnation
+     * @param identity name and incarnation of this process
      */
     public void updateIdentity(MemberId identity) {
         self = identity;
     }
 
     /**
-     * Sets the handler of a channel. Messages for a channel without one are counted and left.
+     * Sets the handler of a channel. Messages for a channel without a handler are counted and discarded.
      *
-     * @param channel the channel's name
-     * @param handler called on the transport's thread
+     * @param channel name of the channel
+     * @param handler called with each message on the transport's thread; replaces an earlier handler
      */
     public void registerHandler(String channel, PeerHandler handler) {
         handlers.put(channel, handler);
     }
 
     /**
-     * Sends by TCP on the kept connection. A body above the limit is dropped and counted.
+     * Sends a message by TCP on the current connection to the peer, opening one if necessary. A body larger than
+     * {@link TransportLimits#maxMessageBytes} is dropped and counted.
      *
-     * @param to the peer port of the receiver
-     * @param channel the receiver's channel
-     * @param body the channel's own encoding
+     * @param to address of the receiver's peer port
+     * @param channel name of the channel at the receiver
+     * @param body the message in the channel's own encoding
      */
     public void send(InetSocketAddress to, String channel, byte[] body) {
         sendStream(to, channel, body, false);
     }
 
     /**
-     * Sends by TCP on a new connection, which replaces the kept one once it is there. Without one it is dropped.
+     * Sends a message by TCP on a new connection, which replaces the current one once it is open. The message is dropped
+     * and counted if the connection can't be opened or the body is larger than {@link TransportLimits#maxMessageBytes}.
      *
-     * @param to the peer port of the receiver
-     * @param channel the receiver's channel
-     * @param body the channel's own encoding
+     * @param to address of the receiver's peer port
+     * @param channel name of the channel at the receiver
+     * @param body the message in the channel's own encoding
      */
     public void sendOnNewConnection(InetSocketAddress to, String channel, byte[] body) {
         sendStream(to, channel, body, true);
     }
 
     /**
-     * Sends by UDP. A body above the limit is dropped and counted.
+     * Sends a message by UDP. A body larger than {@link TransportLimits#maxDatagramBytes} is dropped and counted.
      *
-     * @param to the peer port of the receiver
-     * @param channel the receiver's channel
-     * @param body the channel's own encoding
+     * @param to address of the receiver's peer port
+     * @param channel name of the channel at the receiver
+     * @param body the message in the channel's own encoding
      */
     public void sendDatagram(InetSocketAddress to, String channel, byte[] body) {
         if (body.length > limits.maxDatagramBytes()) {
-            counters.dropped(channel);
+            counters.recordDropped(channel);
             return;
         }
         byte[] bytes = envelope(channel, ByteString.copyFrom(body)).toByteArray();
-        counters.sent(channel, bytes.length);
+        counters.recordSent(channel, bytes.length);
         if (datagramLoss > 0 && random.nextDouble() < datagramLoss) {
             return;
         }
@@ -166,80 +168,81 @@
     }
 
     /**
-     * Runs a task on the transport's thread.
+     * Runs a task on the transport's thread as soon as possible.
      *
-     * @param task must not block
+     * @param task the task; must not block
      */
     public void execute(Runnable task) {
         loop.execute(task);
     }
 
     /**
-     * Runs a task on the transport's thread again and again, at the multiples of its period, so that tasks of the same
-     * period wake the thread once and not each at a time of its own. A task that throws is reported and runs on.
+     * Runs a task periodically on the transport's thread. Runs are aligned to multiples of the period, so that tasks of the
+     * same period wake the thread together. An exception of the task is reported and does not end the schedule.
      *
-     * @param periodNanos time between two runs in nanoseconds; longer after a pause of this process
-     * @param task must not block
+     * @param periodNanos time between two runs in nanoseconds; runs missed during a pause of this process are skipped
+     * @param task the task; must not block
      */
     public void schedulePeriodically(long periodNanos, Runnable task) {
-        long toNext = periodNanos - Math.floorMod(System.nanoTime(), periodNanos);
+        long delayNanos = periodNanos - Math.floorMod(System.nanoTime(), periodNanos);
         loop.schedule(
                 () -> {
                     if (!closed) {
-                        guarded(task);
+                        runAndReportFailure(task);
                         schedulePeriodically(periodNanos, task);
                     }
                 },
-                toNext,
+                delayNanos,
                 TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Runs a task on the transport's thread once.
+     * Runs a task once on the transport's thread after a delay.
      *
-     * @param delayNanos after how long, in nanoseconds
-     * @param task must not block
+     * @param delayNanos the delay in nanoseconds
+     * @param task the task; must not block
      */
     public void scheduleOnce(long delayNanos, Runnable task) {
-        schedule(() -> guarded(task), delayNanos);
+        schedule(() -> runAndReportFailure(task), delayNanos);
     }
 
     /**
-     * Drops a share of the datagrams that are sent from now on, to measure what loss does.
+     * Randomly drops a share of the datagrams sent from now on, to measure the effects of packet loss.
      *
-     * @param share from 0 for none to 1 for all
+     * @param share the probability that a datagram is dropped, from 0 (none) to 1 (all)
      */
     public void simulateDatagramLoss(double share) {
         datagramLoss = share;
     }
 
     /**
-     * What each channel has carried.
+     * Returns the traffic of each channel since the transport was created.
      *
-     * @return the counts by channel name; {@code hello} and {@code heartbeat} are the transport's own
+     * @return the counts by channel name, including the transport's own channels {@code hello} and {@code heartbeat}
      */
     public Map<String, ChannelCount> counts() {
         return counters.snapshot();
     }
 
     /**
-     * How many connections were closed because they had gone silent.
+     * Returns the number of connections closed because the peer confirmed no data within the silence timeout.
      *
-     * @return the count since the start
+     * @return the count since the transport was created
      */
     public long silentConnections() {
-        return silences.get();
+        return silentConnections.get();
     }
 
     /**
-     * Closes all sockets and ends the thread, unless that is shared: then connections to peers end with it. Messages that
-     * wait are lost. Not to be called on the transport's own thread, for whose end it waits.
+     * Closes the transport; queued messages are lost. With a thread of its own, it closes all sockets and ends the thread.
+     * On a shared thread it closes only the listening sockets; connections to peers end with that thread. Waits for the
+     * shutdown, so it must not be called on the transport's thread.
      */
     @Override
     public void close() {
         if (ownGroup.isPresent()) {
             ownGroup.get()
-                    .shutdownGracefully(0, CLOSE_SECONDS, TimeUnit.SECONDS)
+                    .shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                     .awaitUninterruptibly();
         } else {
             closed = true;
@@ -278,34 +281,34 @@
     }
 
     PeerLink link(InetSocketAddress peer) {
-        if (links.size() >= LINK_BOUND) {
-            links.values().removeIf(PeerLink::idle);
+        if (links.size() >= LINK_EVICTION_THRESHOLD) {
+            links.values().removeIf(PeerLink::isIdle);
         }
         return links.computeIfAbsent(peer, address -> new PeerLink(this, address));
     }
 
-    void connect(InetSocketAddress peer, boolean fresh) {
-        sockets.connect(peer, new PeerConnection(this, peer, fresh));
+    void connect(InetSocketAddress peer, boolean replacement) {
+        sockets.connect(peer, new PeerConnection(this, peer, replacement));
     }
 
-    void opened(PeerConnection connection, InetSocketAddress peer) {
-        if (connection.outbound()) {
-            link(peer).connected(connection);
+    void onOpened(PeerConnection connection, InetSocketAddress peer) {
+        if (connection.isOutbound()) {
+            link(peer).onConnected(connection);
         }
     }
 
-    void closed(PeerConnection connection, InetSocketAddress peer) {
+    void onClosed(PeerConnection connection, InetSocketAddress peer) {
         if (peer != null && !closed && !loop.isShuttingDown()) {
-            link(peer).closed(connection);
+            link(peer).onClosed(connection);
         }
     }
 
-    void silent() {
-        silences.incrementAndGet();
+    void recordSilentConnection() {
+        silentConnections.incrementAndGet();
     }
 
-    void failed(Throwable cause) {
-        failures.accept(cause);
+    void reportFailure(Throwable cause) {
+        failureListener.accept(cause);
     }
 
     void deliver(Envelope envelope, InetSocketAddress from, boolean datagram) {
@@ -315,36 +318,36 @@
         }
         MemberId sender = new MemberId(envelope.getSender(), envelope.getIncarnation());
         byte[] body = envelope.getBody().toByteArray();
-        guarded(() -> handler.receive(new PeerMessage(sender, from, datagram, body)));
+        runAndReportFailure(() -> handler.receive(new PeerMessage(sender, from, datagram, body)));
     }
 
-    private void sendStream(InetSocketAddress to, String channel, byte[] body, boolean fresh) {
-        if (body.length > limits.messageBytes()) {
-            counters.dropped(channel);
+    private void sendStream(InetSocketAddress to, String channel, byte[] body, boolean replacement) {
+        if (body.length > limits.maxMessageBytes()) {
+            counters.recordDropped(channel);
             return;
         }
         Envelope envelope = envelope(channel, ByteString.copyFrom(body));
         if (loop.inEventLoop()) {
-            sendNow(to, envelope, fresh);
+            sendOnEventLoop(to, envelope, replacement);
         } else {
-            loop.execute(() -> sendNow(to, envelope, fresh));
+            loop.execute(() -> sendOnEventLoop(to, envelope, replacement));
         }
     }
 
-    private void sendNow(InetSocketAddress to, Envelope envelope, boolean fresh) {
-        if (fresh) {
+    private void sendOnEventLoop(InetSocketAddress to, Envelope envelope, boolean replacement) {
+        if (replacement) {
             link(to).sendOnNewConnection(envelope);
         } else {
             link(to).send(envelope);
         }
     }
 
-    /** One message that a handler can't take must not end the thread that all others run on. */
-    private void guarded(Runnable task) {
+    /** Runs a task and reports an exception, so that one failing task does not affect the others on the thread. */
+    private void runAndReportFailure(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            failures.accept(e);
+            failureListener.accept(e);
         }
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransportBuilder.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/PeerTransportBuilder.java
@@ -8,14 +8,14 @@
 import io.netty.channel.EventLoop;
 import org.dotterelcourse.coordination.MemberId;
 
-/** Describes a {@link PeerTransport}. The address and the identity must be given. */
+/** Builds a {@link PeerTransport}. The bind address and the identity are required. */
 public final class PeerTransportBuilder {
 
-    InetSocketAddress bind;
+    InetSocketAddress bindAddress;
     MemberId self;
     TransportLimits limits = TransportLimits.STANDARD;
     RandomGenerator random = RandomGenerator.getDefault();
-    Consumer<Throwable> failures = failure -> {};
+    Consumer<Throwable> failureListener = failure -> {};
     EventLoop loop;
 
     PeerTransportBuilder() {}
@@ -23,18 +23,18 @@
     /**
      * Sets the address to bind.
      *
-     * @param address an IP number and a port for both TCP and UDP; port 0 takes a free one
+     * @param address IP address and the port number for both TCP and UDP; port 0 selects a free one
      * @return this builder
      */
     public PeerTransportBuilder bind(InetSocketAddress address) {
-        bind = address;
+        bindAddress = address;
         return this;
     }
 
     /**
-     * Sets the identity in envelopes.
+     * Sets the identity that envelopes carry as their sender.
      *
-     * @param identity name and incarnation
+     * @param identity name and incarnation of this process
      * @return this builder
      */
     public PeerTransportBuilder self(MemberId identity) {
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Sets the bounds.
+     * Sets the limits and timeouts. Default: {@link TransportLimits#STANDARD}.
      *
      * @param bounds sizes and times
      * @return this builder
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Sets the source of randomness for the backoff.
+     * Sets the source of randomness for the backoff and for simulated datagram loss.
      *
-     * @param generator used on the transport's thread only
+     * @param generator the generator, used on the transport's thread and by senders of datagrams
      * @return this builder
      */
     public PeerTransportBuilder random(RandomGenerator generator) {
@@ -65,22 +65,22 @@
     }
 
     /**
-     * Sets who hears of malformed messages and of handlers that threw.
+     * Sets the listener for malformed messages, broken connections, and exceptions of handlers and tasks.
      *
-     * @param listener called on the transport's thread
+     * @param listener called with the cause, on the transport's thread
      * @return this builder
      */
     public PeerTransportBuilder onFailure(Consumer<Throwable> listener) {
-        failures = listener;
+        failureListener = listener;
         return this;
     }
 
     /**
-     * Sets the thread that everything runs on, for processes whose other work is on the same one: each message between two
-     * threads wakes a second one, which costs a VM of less than a core more than the message itself. It has to outlive
-     * the transport. Without it the transport has a thread of its own.
+     * Sets the event loop of the transport, to share a thread with other work of the process. Each message handed from
+     * one thread to another wakes the second one, which on a VM with less than one core costs more than the message
+     * itself. By default the transport has a thread of its own.
      *
-     * @param shared the thread
+     * @param shared the event loop; must outlive the transport
      * @return this builder
      */
     public PeerTransportBuilder loop(EventLoop shared) {
@@ -89,13 +89,13 @@
     }
 
     /**
-     * Builds the transport, not yet started.
+     * Builds the transport without starting it.
      *
      * @return the transport
-     * @throws NullPointerException when the address or the identity is missing
+     * @throws NullPointerException if the bind address or the identity is missing
      */
     public PeerTransport build() {
-        Objects.requireNonNull(bind, "bind");
+        Objects.requireNonNull(bindAddress, "bind");
         Objects.requireNonNull(self, "self");
         return new PeerTransport(this);
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/TransportLimits.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/TransportLimits.java
@@ -1,84 +1,86 @@
 package org.dotterelcourse.coordination.transport;
 
 /**
- * Bounds of a transport. The heartbeat is what an idle link costs: a daemon of a fleet of 340 keeps at most about 70
- * links, and at one heartbeat of about 45 bytes every two seconds they take 1.6 KB a second.
+ * Limits and timeouts of a transport. The heartbeat period sets the cost of an idle link: a daemon in a fleet of 340
+ * keeps at most about 70 links, and one heartbeat of about 45 bytes every two seconds on each takes 1.6 KB per second.
  *
- * @param messageBytes largest body by TCP; a longer one isn't sent, and a peer that announces one is cut off
- * @param maxDatagramBytes largest body by UDP
- * @param queueMessages how many messages wait for a link; the oldest is dropped for a new one
- * @param queueAgeNanos how long a message waits for a link before it is dropped
- * @param heartbeatNanos period of heartbeats on each link
- * @param silenceNanos a link on which nothing arrives, or nothing sent is confirmed, for so long is closed
- * @param idleNanos a link without messages for so long is closed
- * @param backoffNanos wait after a first failed connection; doubles with each further one
- * @param backoffCeilingNanos longest wait between two attempts to connect
+ * @param maxMessageBytes largest body sent by TCP; a larger one is dropped, and a connection whose peer announces a
+ *     larger frame is closed
+ * @param maxDatagramBytes largest body sent by UDP; a larger one is dropped
+ * @param maxQueuedMessages largest number of messages queued per link; the oldest is dropped to admit a new one
+ * @param maxQueueAgeNanos time in nanoseconds after which a queued message is dropped
+ * @param heartbeatNanos period of the heartbeats on each connection, in nanoseconds
+ * @param silenceTimeoutNanos time in nanoseconds without a confirmation of sent data after which a connection is closed
+ * @param idleTimeoutNanos time in nanoseconds without messages after which a connection is closed
+ * @param initialBackoffNanos base delay in nanoseconds after the first failed connection attempt; doubles with each
+ *     further failure
+ * @param maxBackoffNanos upper bound of the base delay in nanoseconds
  */
 public record TransportLimits(
-        int messageBytes,
+        int maxMessageBytes,
         int maxDatagramBytes,
-        int queueMessages,
-        long queueAgeNanos,
+        int maxQueuedMessages,
+        long maxQueueAgeNanos,
         long heartbeatNanos,
-        long silenceNanos,
-        long idleNanos,
-        long backoffNanos,
-        long backoffCeilingNanos) {
+        long silenceTimeoutNanos,
+        long idleTimeoutNanos,
+        long initialBackoffNanos,
+        long maxBackoffNanos) {
 
-    private static final long MILLISECOND = 1_000_000L;
-    private static final long SECOND = 1_000 * MILLISECOND;
+    private static final long MILLISECOND_NANOS = 1_000_000L;
+    private static final long SECOND_NANOS = 1_000 * MILLISECOND_NANOS;
     private static final int MEBIBYTE = 1 << 20;
-    private static final int DATAGRAM = 1_400;
-    private static final int QUEUE = 1_024;
+    private static final int MAX_DATAGRAM_BYTES = 1_400;
+    private static final int MAX_QUEUED_MESSAGES = 1_024;
 
     /** Limits for a fleet of a few hundred processes. */
     public static final TransportLimits STANDARD = new TransportLimits(
             2 * MEBIBYTE,
-            DATAGRAM,
-            QUEUE,
-            5 * SECOND,
-            2 * SECOND,
-            5 * SECOND,
-            20 * SECOND,
-            100 * MILLISECOND,
-            5 * SECOND);
+            MAX_DATAGRAM_BYTES,
+            MAX_QUEUED_MESSAGES,
+            5 * SECOND_NANOS,
+            2 * SECOND_NANOS,
+            5 * SECOND_NANOS,
+            20 * SECOND_NANOS,
+            100 * MILLISECOND_NANOS,
+            5 * SECOND_NANOS);
 
     /**
-     * The same limits with other times for silence, for tests and for fleets on faster networks.
+     * Returns a copy with another heartbeat period and silence timeout, for tests and for fleets on faster networks.
      *
      * @param heartbeat period of heartbeats in nanoseconds
-     * @param silence silence in nanoseconds after which a link is closed
+     * @param silenceTimeout time in nanoseconds without a confirmation after which a connection is closed
      * @return the changed limits
      */
-    public TransportLimits withSilence(long heartbeat, long silence) {
+    public TransportLimits withHeartbeat(long heartbeat, long silenceTimeout) {
         return new TransportLimits(
-                messageBytes,
+                maxMessageBytes,
                 maxDatagramBytes,
-                queueMessages,
-                queueAgeNanos,
+                maxQueuedMessages,
+                maxQueueAgeNanos,
                 heartbeat,
-                silence,
-                idleNanos,
-                backoffNanos,
-                backoffCeilingNanos);
+                silenceTimeout,
+                idleTimeoutNanos,
+                initialBackoffNanos,
+                maxBackoffNanos);
     }
 
     /**
-     * The same limits with another largest message.
+     * Returns a copy with another limit for message bodies.
      *
-     * @param bytes largest body by TCP
+     * @param bytes largest body sent by TCP, in bytes
      * @return the changed limits
      */
-    public TransportLimits withMessageBytes(int bytes) {
+    public TransportLimits withMaxMessageBytes(int bytes) {
         return new TransportLimits(
                 bytes,
                 maxDatagramBytes,
-                queueMessages,
-                queueAgeNanos,
+                maxQueuedMessages,
+                maxQueueAgeNanos,
                 heartbeatNanos,
-                silenceNanos,
-                idleNanos,
-                backoffNanos,
-                backoffCeilingNanos);
+                silenceTimeoutNanos,
+                idleTimeoutNanos,
+                initialBackoffNanos,
+                maxBackoffNanos);
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Carries messages between processes: one TCP connection a peer and UDP datagrams, on Netty. */
+/** Message transport between processes on Netty, with one TCP connection per peer and UDP datagrams. */
 package org.dotterelcourse.coordination.transport;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/transport/PeerTransportTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/transport/PeerTransportTest.java
@@ -30,21 +30,21 @@
 class PeerTransportTest {
 
     private static final String CHANNEL = "test";
-    private static final long BOUND_SECONDS = 60;
-    private static final long MILLISECOND = 1_000_000L;
-    private static final TransportLimits QUICK =
-            TransportLimits.STANDARD.withSilence(100 * MILLISECOND, 600 * MILLISECOND);
+    private static final long TIMEOUT_SECONDS = 60;
+    private static final long MILLISECOND_NANOS = 1_000_000L;
+    private static final TransportLimits SHORT_TIMEOUTS =
+            TransportLimits.STANDARD.withHeartbeat(100 * MILLISECOND_NANOS, 600 * MILLISECOND_NANOS);
 
-    private final List<PeerTransport> open = new ArrayList<>();
+    private final List<PeerTransport> transports = new ArrayList<>();
     private final BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
 
     @AfterEach
     void closeAll() {
-        open.forEach(PeerTransport::close);
+        transports.forEach(PeerTransport::close);
     }
 
     @Test
-    void messagesOfAllSizesArriveWholeAndInOrder() throws InterruptedException {
+    void messagesOfAllSizesArriveCompletelyAndInOrder() throws InterruptedException {
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
         PeerTransport b = receiver(0, TransportLimits.STANDARD);
         Random random = new Random(31);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void answerGoesBackToTheAddressAMessageCameFrom() throws InterruptedException {
+    void replyIsDeliveredToTheAddressOfTheSender() throws InterruptedException {
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
         PeerTransport b = transport("b", 0, TransportLimits.STANDARD);
         b.registerHandler(CHANNEL, message -> b.send(message.from(), CHANNEL, message.body()));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void datagramsCarryTheirSender() throws InterruptedException {
+    void datagramsCarryTheAddressOfTheSender() throws InterruptedException {
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
         PeerTransport b = receiver(0, TransportLimits.STANDARD);
         a.sendDatagram(b.address(), CHANNEL, new byte[] {1, 2});
@@ -87,27 +87,29 @@
     }
 
     /**
-     * A fault in one daemon makes it send a message without end. If others tried to hold it they would run out of
-     * memory together.
+     * Guards against memory exhaustion: a faulty daemon sends a message of unlimited length, and all its peers buffer it.
      */
     @Test
     void oversizedMessagesAreNeitherSentNorRead() throws Exception {
-        PeerTransport a = transport("a", 0, TransportLimits.STANDARD.withMessageBytes(1_000));
-        PeerTransport b = receiver(0, TransportLimits.STANDARD.withMessageBytes(1_000));
+        PeerTransport a = transport("a", 0, TransportLimits.STANDARD.withMaxMessageBytes(1_000));
+        PeerTransport b = receiver(0, TransportLimits.STANDARD.withMaxMessageBytes(1_000));
         a.send(b.address(), CHANNEL, new byte[1_001]);
         a.send(b.address(), CHANNEL, new byte[1_000]);
         assertThat(next().body()).hasSize(1_000);
         assertThat(a.counts().get(CHANNEL).dropped()).isEqualTo(1);
         try (Socket hostile = new Socket(b.address().getAddress(), b.port())) {
-            hostile.setSoTimeout((int) TimeUnit.SECONDS.toMillis(BOUND_SECONDS));
+            hostile.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             hostile.getOutputStream().write(new byte[] {-1, -1, -1, -1, 7});
             assertThat(hostile.getInputStream().read()).isEqualTo(-1);
         }
     }
 
-    /** Anybody can send datagrams to a port. If a malformed one stopped the socket, membership would go deaf. */
+    /**
+     * Guards against a denial of service: any host can send a malformed datagram, and if the socket stopped reading,
+     * membership would receive nothing more.
+     */
     @Test
-    void malformedDatagramIsLeftAndTheNextIsRead() throws Exception {
+    void malformedDatagramIsSkippedAndTheNextIsRead() throws Exception {
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
         PeerTransport b = receiver(0, TransportLimits.STANDARD);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -119,23 +121,23 @@
     }
 
     /**
-     * Something between two daemons forgets a connection and drops its bytes, in one direction or both, while new
-     * connections work. Without heartbeats the sender would write into it for minutes, and callers would wait for
-     * grants that never come.
+     * Guards against writing to a connection that no longer delivers data: a middlebox between two daemons loses the
+     * state of a connection and discards its bytes, in one or both directions, while new connections work. Without
+     * heartbeats the sender would use it for minutes, and callers would wait for grants that never arrive.
      */
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, true"})
-    void silentConnectionIsReplacedByANewOne(boolean forward, boolean backward) throws Exception {
-        PeerTransport a = transport("a", 0, QUICK);
-        PeerTransport b = receiver(0, QUICK);
+    void silentConnectionIsReplacedByNewConnection(boolean forward, boolean backward) throws Exception {
+        PeerTransport a = transport("a", 0, SHORT_TIMEOUTS);
+        PeerTransport b = receiver(0, SHORT_TIMEOUTS);
         try (TcpRelay relay = new TcpRelay(b.address())) {
             a.send(relay.address(), CHANNEL, new byte[] {1});
             assertThat(next().body()).containsExactly(1);
-            relay.swallowOpen(forward, backward);
+            relay.discardOnOpenConnections(forward, backward);
             await(() -> a.silentConnections() + b.silentConnections() > 0);
             await(() -> {
                 a.send(relay.address(), CHANNEL, new byte[] {2});
-                return relay.accepted() > 1;
+                return relay.acceptedCount() > 1;
             });
             PeerMessage last = next();
             assertThat(last.body()).containsExactly(2);
@@ -143,17 +145,17 @@
     }
 
     /**
-     * A connection has just gone silent, before any timeout could tell. A probe by the kept one would be lost and a
-     * healthy daemon suspected; by a fresh one it arrives.
+     * Guards against suspecting a healthy daemon: a connection stops delivering data shortly before a probe, too early
+     * for any timeout. A probe on that connection would be lost; on a new one it arrives.
      */
     @Test
-    void freshMessageArrivesThoughTheKeptConnectionIsSilent() throws Exception {
+    void messageOnNewConnectionArrivesWhileCurrentConnectionIsSilent() throws Exception {
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
         PeerTransport b = receiver(0, TransportLimits.STANDARD);
         try (TcpRelay relay = new TcpRelay(b.address())) {
             a.send(relay.address(), CHANNEL, new byte[] {1});
             next();
-            relay.swallowOpen(true, true);
+            relay.discardOnOpenConnections(true, true);
             a.sendOnNewConnection(relay.address(), CHANNEL, new byte[] {2});
             assertThat(next().body()).containsExactly(2);
             assertThat(a.silentConnections()).isZero();
@@ -161,20 +163,21 @@
     }
 
     /**
-     * A single lost datagram makes a daemon try a fresh connection to a peer that is well, while grants are under way on
-     * the kept one. If replacing it lost them, callers would wait for a timeout.
+     * Guards against message loss when a connection is replaced: after a single lost datagram a daemon opens a new
+     * connection to a healthy peer while grants are in flight on the current one. If these were lost, callers would wait
+     * for a timeout.
      */
     @Test
-    void messagesUnderWayOutliveTheReplacementOfTheirConnection() throws Exception {
+    void messagesInFlightSurviveTheReplacementOfTheirConnection() throws Exception {
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
         PeerTransport b = transport("b", 0, TransportLimits.STANDARD);
         int count = 3_000;
         b.registerHandler(CHANNEL, message -> b.send(message.from(), CHANNEL, message.body()));
         a.registerHandler(CHANNEL, received::add);
-        Set<Integer> expected = new HashSet<>();
+        Set<Integer> pending = new HashSet<>();
         for (int i = 0; i < count; i++) {
             byte[] body = ByteBuffer.allocate(500).putInt(i).array();
-            expected.add(i);
+            pending.add(i);
             if (i % 500 == 250) {
                 a.sendOnNewConnection(b.address(), CHANNEL, body);
             } else {
@@ -184,37 +187,37 @@
             await(() -> sent - received.size() <= 200);
         }
         for (int i = 0; i < count; i++) {
-            assertThat(expected.remove(ByteBuffer.wrap(next().body()).getInt())).isTrue();
+            assertThat(pending.remove(ByteBuffer.wrap(next().body()).getInt())).isTrue();
         }
-        assertThat(expected).isEmpty();
+        assertThat(pending).isEmpty();
     }
 
-    /** A daemon is restarted in place. Its peers must reach it again without being told. */
+    /** Peers must reconnect to a daemon that was restarted at the same address, without a notification. */
     @Test
     void restartedPeerIsReachedAgain() throws InterruptedException {
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
-        PeerTransport first = receiver(portOutsideOfTheEphemeralRange(), TransportLimits.STANDARD);
-        a.send(first.address(), CHANNEL, new byte[] {1});
+        PeerTransport original = receiver(portOutsideEphemeralRange(), TransportLimits.STANDARD);
+        a.send(original.address(), CHANNEL, new byte[] {1});
         next();
-        first.close();
-        a.send(first.address(), CHANNEL, new byte[] {2});
-        receiver(first.port(), TransportLimits.STANDARD);
+        original.close();
+        a.send(original.address(), CHANNEL, new byte[] {2});
+        receiver(original.port(), TransportLimits.STANDARD);
         await(() -> {
-            a.send(first.address(), CHANNEL, new byte[] {3});
+            a.send(original.address(), CHANNEL, new byte[] {3});
             return !received.isEmpty();
         });
     }
 
-    /** A peer is gone for a long time while messages for it keep coming. They must not fill the memory. */
+    /** Guards against memory exhaustion while messages are sent to a peer that is unreachable for a long time. */
     @Test
-    void messagesForAnUnreachablePeerAreBounded() throws IOException {
+    void queueForAnUnreachablePeerIsBounded() throws IOException {
         PeerTransport a = transport("a", 0, TransportLimits.STANDARD);
-        int bound = TransportLimits.STANDARD.queueMessages();
-        try (Socket boundOnly = new Socket()) {
-            boundOnly.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            InetSocketAddress nobody = (InetSocketAddress) boundOnly.getLocalSocketAddress();
-            for (int i = 0; i < bound + 100; i++) {
-                a.send(nobody, CHANNEL, new byte[100]);
+        int maxQueued = TransportLimits.STANDARD.maxQueuedMessages();
+        try (Socket boundWithoutListening = new Socket()) {
+            boundWithoutListening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            InetSocketAddress unreachable = (InetSocketAddress) boundWithoutListening.getLocalSocketAddress();
+            for (int i = 0; i < maxQueued + 100; i++) {
+                a.send(unreachable, CHANNEL, new byte[100]);
             }
             await(() ->
                     a.counts().containsKey(CHANNEL) && a.counts().get(CHANNEL).dropped() >= 100);
@@ -236,12 +239,12 @@
                 .random(new Random(1))
                 .build()
                 .start();
-        open.add(transport);
+        transports.add(transport);
         return transport;
     }
 
-    /** A port that is taken again later must not be one that the system may hand to another process in between. */
-    private static int portOutsideOfTheEphemeralRange() {
+    /** Returns a free port that the system does not assign to other processes, so that it can be bound again later. */
+    private static int portOutsideEphemeralRange() {
         Random random = new Random();
         while (true) {
             int port = 20_000 + random.nextInt(10_000);
@@ -254,15 +257,15 @@
     }
 
     private PeerMessage next() throws InterruptedException {
-        PeerMessage message = received.poll(BOUND_SECONDS, TimeUnit.SECONDS);
+        PeerMessage message = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertThat(message).isNotNull();
         return message;
     }
 
     private static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(BOUND_SECONDS);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
-            assertThat(System.nanoTime()).as("bound of the wait").isLessThan(end);
+            assertThat(System.nanoTime()).as("time limit for the condition").isLessThan(deadline);
             Thread.yield();
         }
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/transport/TcpRelay.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/transport/TcpRelay.java
@@ -10,50 +10,54 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Passes TCP connections on, and can swallow the bytes of those open at a moment, in either direction, for good. */
+/**
+ * Relays TCP connections to a target. Can permanently discard the data of all open connections, in either direction, as a
+ * middlebox does that has lost their state.
+ */
 final class TcpRelay implements AutoCloseable {
 
     private final InetSocketAddress target;
     private final ServerSocket server;
-    private final List<Pair> pairs = new CopyOnWriteArrayList<>();
+    private final List<RelayedConnection> connections = new CopyOnWriteArrayList<>();
 
     TcpRelay(InetSocketAddress target) throws IOException {
         this.target = target;
         this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        startDaemonThread(this::acceptConnections);
     }
 
     InetSocketAddress address() {
         return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
     }
 
-    int accepted() {
-        return pairs.size();
+    int acceptedCount() {
+        return connections.size();
     }
 
-    void swallowOpen(boolean forward, boolean backward) {
-        for (Pair pair : pairs) {
-            pair.swallowForward |= forward;
-            pair.swallowBackward |= backward;
+    void discardOnOpenConnections(boolean forward, boolean backward) {
+        for (RelayedConnection connection : connections) {
+            connection.discardForward |= forward;
+            connection.discardBackward |= backward;
         }
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        for (Pair pair : pairs) {
-            pair.client.close();
-            pair.upstream.close();
+        for (RelayedConnection connection : connections) {
+            connection.client.close();
+            connection.toTarget.close();
         }
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
-                Pair pair = new Pair(server.accept(), new Socket(target.getAddress(), target.getPort()));
-                pairs.add(pair);
-                daemon(() -> pump(pair, pair.client, pair.upstream, true));
-                daemon(() -> pump(pair, pair.upstream, pair.client, false));
+                RelayedConnection connection =
+                        new RelayedConnection(server.accept(), new Socket(target.getAddress(), target.getPort()));
+                connections.add(connection);
+                startDaemonThread(() -> copy(connection, connection.client, connection.toTarget, true));
+                startDaemonThread(() -> copy(connection, connection.toTarget, connection.client, false));
             }
         } catch (IOException e) {
             // The relay or its target is closed.
@@ -61,36 +65,36 @@
         }
     }
 
-    private static void pump(Pair pair, Socket from, Socket to, boolean forward) {
+    private static void copy(RelayedConnection connection, Socket from, Socket to, boolean forward) {
         byte[] buffer = new byte[8_192];
         try (InputStream in = from.getInputStream();
                 OutputStream out = to.getOutputStream()) {
             for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-                if (!(forward ? pair.swallowForward : pair.swallowBackward)) {
+                if (!(forward ? connection.discardForward : connection.discardBackward)) {
                     out.write(buffer, 0, count);
                 }
             }
         } catch (IOException e) {
-            // One side is closed; the other is closed with its streams.
+            // One side is closed. Closing the streams closes the other side as well.
             return;
         }
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemonThread(Runnable task) {
         Thread thread = new Thread(task, "relay");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static final class Pair {
+    private static final class RelayedConnection {
         private final Socket client;
-        private final Socket upstream;
-        private volatile boolean swallowForward;
-        private volatile boolean swallowBackward;
+        private final Socket toTarget;
+        private volatile boolean discardForward;
+        private volatile boolean discardBackward;
 
-        private Pair(Socket client, Socket upstream) {
+        private RelayedConnection(Socket client, Socket toTarget) {
             this.client = client;
-            this.upstream = upstream;
+            this.toTarget = toTarget;
         }
     }
 }
