--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ControlLoop.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ControlLoop.java
@@ -10,11 +10,10 @@
 import org.jboss.logging.Logger;
 
 /**
- * The one thread that every state machine of the daemon runs on, so that none of them needs a lock. Nothing that runs
- * here may block.
+ * Runs all state machines of the daemon on a single thread, so that they need no locks. Tasks must not block.
  */
 public final class ControlLoop implements Service {
-    /** The name that it is found by. */
+    /** The name under which the kernel registers this service. */
     public static final ServiceName<ControlLoop> NAME = new ServiceName<>("control-loop", ControlLoop.class);
 
     private static final Logger LOG = Logger.getLogger(ControlLoop.class);
@@ -47,58 +46,58 @@
     }
 
     /**
-     * Runs a task soon.
+     * Runs a task as soon as possible. After the loop has stopped, the task is discarded.
      *
-     * @param task the task
+     * @param task the task; must not block
      */
     public void execute(Runnable task) {
         try {
-            executor.execute(guarded(task));
+            executor.execute(loggingExceptions(task));
         } catch (RejectedExecutionException e) {
-            // A last event of a connection may come in while the process ends; there is nothing left to tell it to.
-            LOG.debug("the control loop has stopped", e);
+            // Connections can still report events while the process shuts down.
+            LOG.debug("the control loop has stopped; discarding a task", e);
         }
     }
 
     /**
-     * Runs a task once after a time.
+     * Runs a task once after a delay.
      *
-     * @param delayNanos the time
-     * @param task the task
+     * @param delayNanos the delay in nanoseconds
+     * @param task the task; must not block
      */
     public void scheduleOnce(long delayNanos, Runnable task) {
-        executor.schedule(guarded(task), delayNanos, TimeUnit.NANOSECONDS);
+        executor.schedule(loggingExceptions(task), delayNanos, TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Runs a task again and again, until the loop stops.
+     * Runs a task periodically until the loop stops. The first run is one period from now.
      *
-     * @param period the time from one start to the next
-     * @param task the task
+     * @param period the time from one start of the task to the next
+     * @param task the task; must not block
      */
     public void schedulePeriodically(Duration period, Runnable task) {
-        executor.scheduleAtFixedRate(guarded(task), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS);
+        executor.scheduleAtFixedRate(loggingExceptions(task), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
-     * The monotonic clock that every state machine of the daemon is told the time by.
+     * Returns the current time of the monotonic clock that all state machines of the daemon use.
      *
-     * @return nanoseconds since some fixed moment in the life of the process
+     * @return the time in nanoseconds, relative to an arbitrary origin that is fixed for the process
      */
     public long nowNanos() {
         return System.nanoTime();
     }
 
     /**
-     * An exception that left a periodic task would end it without a trace: the daemon would look well and never again
-     * renew a lease. So each is logged, and the task goes on.
+     * Wraps a task so that its exceptions are logged. An uncaught exception would silently cancel a periodic task: the
+     * daemon would look healthy but never renew a lease again.
      */
-    private static Runnable guarded(Runnable task) {
+    private static Runnable loggingExceptions(Runnable task) {
         return () -> {
             try {
                 task.run();
             } catch (RuntimeException e) {
-                LOG.error("a control task failed", e);
+                LOG.error("a task on the control loop failed", e);
             }
         };
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/Kernel.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/Kernel.java
@@ -8,68 +8,69 @@
 import java.util.Set;
 
 /**
- * Holds the daemon's services, starts them in the order of their dependencies (depth-first topological sort) and stops
- * them in the reverse order.
+ * Registry of the services of a process. Starts them in dependency order (depth-first topological sort) and stops them in
+ * reverse order.
  */
 public final class Kernel {
     private final Map<String, Service> services = new LinkedHashMap<>();
-    private final List<StartupFailure> registration = new ArrayList<>();
+    private final List<StartupFailure> registrationFailures = new ArrayList<>();
     private final List<Service> started = new ArrayList<>();
 
     /**
-     * Adds a service. A second one of the same name is a finding of {@link #start()}.
+     * Registers a service. If the name is already registered, {@link #start()} reports it as a failure.
      *
      * @param service the service, not yet started
      * @return this kernel
      */
     public Kernel register(Service service) {
-        Service earlier = services.putIfAbsent(service.name().value(), service);
-        if (earlier != null) {
-            registration.add(new StartupFailure(service.name().value(), "registered twice"));
+        Service existing = services.putIfAbsent(service.name().value(), service);
+        if (existing != null) {
+            registrationFailures.add(
+                    new StartupFailure(service.name().value(), "more than one service is registered under this name"));
         }
         return this;
     }
 
     /**
-     * Finds a service.
+     * Returns the service of a name.
      *
-     * @param name its name
-     * @param <T> what it is used as
-     * @return the service
-     * @throws IllegalStateException if there is none of that name and type: a dependency was not declared
+     * @param name name and type of the service
+     * @param <T> the type through which the service is used
+     * @return the service, which has started if the caller declares it as a dependency
+     * @throws IllegalStateException if no service of that name and type is registered
      */
     public <T> T find(ServiceName<T> name) {
         Service service = services.get(name.value());
         if (!name.type().isInstance(service)) {
-            throw new IllegalStateException("no service " + name + " of " + name.type());
+            throw new IllegalStateException("no service " + name + " of type " + name.type());
         }
         return name.type().cast(service);
     }
 
     /**
-     * Starts every service. If the services don't fit together nothing is started; if one fails, those that had
-     * started are stopped again.
+     * Starts all services. If a dependency is missing or cyclic, none is started. If a service fails to start, those
+     * already started are stopped again.
      *
-     * @return everything that kept the daemon from starting, empty if it runs
+     * @return all reasons why the process could not start; empty if it is running
      */
     public List<StartupFailure> start() {
-        List<StartupFailure> findings = new ArrayList<>(registration);
-        List<Service> order = order(findings);
-        if (!findings.isEmpty()) {
-            return findings;
+        List<StartupFailure> failures = new ArrayList<>(registrationFailures);
+        List<Service> order = startOrder(failures);
+        if (!failures.isEmpty()) {
+            return failures;
         }
         for (Service service : order) {
-            findings.addAll(service.start(this));
-            if (!findings.isEmpty()) {
+            failures.addAll(service.start(this));
+            if (!failures.isEmpty()) {
                 stop();
-                return findings;
+                return failures;
             }
             started.add(service);
         }
-        return findings;
+        return failures;
     }
 
-    /** Stops what runs, last started first. */
+    /** Stops all started services in the reverse order of their start. */
     public void stop() {
         for (int i = started.size() - 1; i >= 0; i--) {
             started.get(i).stop();
@@ -77,32 +78,37 @@
         started.clear();
     }
 
-    private List<Service> order(List<StartupFailure> findings) {
+    private List<Service> startOrder(List<StartupFailure> failures) {
         List<Service> order = new ArrayList<>();
-        Set<String> done = new HashSet<>();
+        Set<String> visited = new HashSet<>();
         for (Service service : services.values()) {
-            visit(service, new ArrayList<>(), done, order, findings);
+            visit(service, new ArrayList<>(), visited, order, failures);
         }
         return order;
     }
 
     private void visit(
-            Service service, List<String> path, Set<String> done, List<Service> order, List<StartupFailure> findings) {
+            Service service,
+            List<String> path,
+            Set<String> visited,
+            List<Service> order,
+            List<StartupFailure> failures) {
         String name = service.name().value();
         if (path.contains(name)) {
-            findings.add(new StartupFailure(name, "depends on itself by way of " + path));
+            failures.add(new StartupFailure(name, "cyclic dependency through " + path));
             return;
         }
-        if (!done.add(name)) {
+        if (!visited.add(name)) {
             return;
         }
         path.add(name);
         for (ServiceName<?> dependency : service.dependencies()) {
-            Service needed = services.get(dependency.value());
-            if (needed == null) {
-                findings.add(new StartupFailure(name, "needs the service " + dependency + ", which is not registered"));
+            Service required = services.get(dependency.value());
+            if (required == null) {
+                failures.add(
+                        new StartupFailure(name, "depends on the service " + dependency + ", which is not registered"));
             } else {
-                visit(needed, path, done, order, findings);
+                visit(required, path, visited, order, failures);
             }
         }
         path.remove(name);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/Service.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/Service.java
@@ -2,30 +2,30 @@
 
 import java.util.List;
 
-/** A part of the daemon with a life of its own. */
+/** A component of a process that the {@link Kernel} starts and stops. */
 public interface Service {
     /**
-     * The name that others find it by.
+     * Returns the name under which other services find this one.
      *
-     * @return the name
+     * @return the name, unique in a kernel
      */
     ServiceName<?> name();
 
     /**
-     * The services that must run before this one starts, and until after it has stopped.
+     * Returns the services that must have started before this one starts, and must not stop before it has stopped.
      *
      * @return their names
      */
     List<ServiceName<?>> dependencies();
 
     /**
-     * Starts the service. A failing start leaves nothing running.
+     * Starts the service. If it fails, it must release everything that it has started.
      *
-     * @param kernel where the dependencies are found
-     * @return what kept it from starting, empty if it runs
+     * @param kernel the registry in which the dependencies are found
+     * @return the reasons why it could not start; empty if it is running
      */
     List<StartupFailure> start(Kernel kernel);
 
-    /** Stops the service. Called once, and only after a start without findings. */
+    /** Stops the service. Called at most once, and only after a successful start. */
     void stop();
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ServiceName.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/ServiceName.java
@@ -1,11 +1,11 @@
 package org.dotterelcourse.daemon.kernel;
 
 /**
- * The name that a service is found by, with the type that it is used as.
+ * Typed key for looking up a service in a {@link Kernel}.
  *
  * @param value the name, unique in a kernel
- * @param type what a look-up returns
- * @param <T> that type
+ * @param type class or interface through which the service is used
+ * @param <T> the type of the service returned by a look-up
  */
 public record ServiceName<T>(String value, Class<T> type) {
     @Override
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/StartupFailure.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/StartupFailure.java
@@ -1,9 +1,9 @@
 package org.dotterelcourse.daemon.kernel;
 
 /**
- * One reason why the daemon did not start.
+ * A reason why the process could not start.
  *
- * @param service the service that it is about
- * @param problem what is wrong
+ * @param service name of the affected service
+ * @param problem description of the error for operators
  */
 public record StartupFailure(String service, String problem) {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/kernel/package-info.java
@@ -1,2 +1,2 @@
-/** Services that register under a name, find one another by it, and start and stop in order. */
+/** Service registry that starts and stops the services of a process in dependency order. */
 package org.dotterelcourse.daemon.kernel;
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/kernel/KernelTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/kernel/KernelTest.java
@@ -9,79 +9,82 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 class KernelTest {
-    private final List<String> life = new ArrayList<>();
+    private final List<String> lifecycleEvents = new ArrayList<>();
 
     @Test
     void startsDependenciesFirstAndStopsThemLast() {
-        Kernel kernel = new Kernel().register(part("edge", "", "store")).register(part("store", ""));
+        Kernel kernel = new Kernel().register(service("edge", "", "store")).register(service("store", ""));
 
         assertThat(kernel.start()).isEmpty();
         kernel.stop();
 
-        assertThat(life).containsExactly("+store", "+edge", "-edge", "-store");
+        assertThat(lifecycleEvents).containsExactly("+store", "+edge", "-edge", "-store");
     }
 
     @Test
-    void stopsWhatHadStartedWhenAPartFails() {
+    void stopsStartedServicesWhenAServiceFailsToStart() {
         Kernel kernel = new Kernel()
-                .register(part("store", ""))
-                .register(part("edge", "the port is taken", "store"))
-                .register(part("operators", "", "edge"));
+                .register(service("store", ""))
+                .register(service("edge", "the port is taken", "store"))
+                .register(service("operators", "", "edge"));
 
         assertThat(kernel.start()).containsExactly(new StartupFailure("edge", "the port is taken"));
-        assertThat(life).containsExactly("+store", "-store");
+        assertThat(lifecycleEvents).containsExactly("+store", "-store");
     }
 
     @Test
     void reportsEveryMissingDependencyAndCycleTogetherAndStartsNothing() {
         Kernel kernel = new Kernel()
-                .register(part("a", "", "b"))
-                .register(part("b", "", "a"))
-                .register(part("c", "", "nobody"))
-                .register(part("c", ""));
+                .register(service("a", "", "b"))
+                .register(service("b", "", "a"))
+                .register(service("c", "", "missing"))
+                .register(service("c", ""));
 
         assertThat(kernel.start()).extracting(StartupFailure::service).containsExactlyInAnyOrder("c", "a", "c");
-        assertThat(life).isEmpty();
+        assertThat(lifecycleEvents).isEmpty();
     }
 
     @Test
     void findsAServiceOnlyUnderItsNameAndType() {
-        Kernel kernel = new Kernel().register(part("store", ""));
+        Kernel kernel = new Kernel().register(service("store", ""));
 
-        assertThat(kernel.find(new ServiceName<>("store", Part.class)).life).isSameAs(life);
+        assertThat(kernel.find(new ServiceName<>("store", TestService.class)).lifecycleEvents)
+                .isSameAs(lifecycleEvents);
         assertThatThrownBy(() -> kernel.find(new ServiceName<>("store", ControlLoop.class)))
                 .isInstanceOf(IllegalStateException.class);
     }
 
-    private Part part(String name, String problem, String... needs) {
-        return new Part(name, problem, List.of(needs), life);
+    private TestService service(String name, String problem, String... dependencyNames) {
+        return new TestService(name, problem, List.of(dependencyNames), lifecycleEvents);
     }
 
-    private record Part(String called, String problem, List<String> needs, List<String> life) implements Service {
+    private record TestService(
+            String serviceName, String problem, List<String> dependencyNames, List<String> lifecycleEvents)
+            implements Service {
         @Override
         public ServiceName<?> name() {
-            return new ServiceName<>(called, Part.class);
+            return new ServiceName<>(serviceName, TestService.class);
         }
 
         @Override
         public List<ServiceName<?>> dependencies() {
             List<ServiceName<?>> names = new ArrayList<>();
-            needs.forEach(need -> names.add(new ServiceName<>(need, Part.class)));
+            dependencyNames.forEach(dependency -> names.add(new ServiceName<>(dependency, TestService.class)));
             return names;
         }
 
         @Override
         public List<StartupFailure> start(Kernel kernel) {
             if (!problem.isEmpty()) {
-                return List.of(new StartupFailure(called, problem));
+                return List.of(new StartupFailure(serviceName, problem));
             }
-            life.add("+" + called);
+            lifecycleEvents.add("+" + serviceName);
             return List.of();
         }
 
         @Override
         public void stop() {
-            life.add("-" + called);
+            lifecycleEvents.add("-" + serviceName);
         }
     }
 }
