--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
@@ -102,7 +102,7 @@
     }
 
     void later(Runnable task, long delayNanos) {
-        transport.after(delayNanos, task);
+        transport.scheduleOnce(delayNanos, task);
     }
 
     /** Blocks the node's thread, as when its host stalls. */
@@ -118,7 +118,7 @@
 
     /** Drops a share of the datagrams that this node sends. */
     void lose(double share) {
-        transport.loseDatagrams(share);
+        transport.simulateDatagramLoss(share);
     }
 
     long alive() {
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/membership/MembershipDriver.java
@@ -39,8 +39,8 @@
      * @param tickNanos period of the ticks in nanoseconds, as in the settings of the membership
      */
     public void start(long tickNanos) {
-        transport.receive(CHANNEL, this::receive);
-        transport.every(tickNanos, () -> handle(new MembershipEvent.Tick()));
+        transport.registerHandler(CHANNEL, this::receive);
+        transport.schedulePeriodically(tickNanos, () -> handle(new MembershipEvent.Tick()));
     }
 
     /**
@@ -76,7 +76,7 @@
             return;
         }
         if (effect instanceof MembershipEffect.IncarnationRaised raised) {
-            transport.identify(raised.id());
+            transport.updateIdentity(raised.id());
         }
         listener.accept(effect);
     }
@@ -86,7 +86,7 @@
         switch (send.mode()) {
             case DATAGRAM -> transport.sendDatagram(send.to(), CHANNEL, body);
             case STREAM -> transport.send(send.to(), CHANNEL, body);
-            case FRESH_STREAM -> transport.sendFresh(send.to(), CHANNEL, body);
+            case FRESH_STREAM -> transport.sendOnNewConnection(send.to(), CHANNEL, body);
             default -> throw new IllegalStateException(send.mode().name());
         }
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
@@ -27,7 +27,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.daemon.platform.ConfigurationStore;
 import org.dotterelcourse.daemon.platform.Vm;
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(ControlLoop.NAME);
         peers = kernel.find(Peers.NAME);
         vms = kernel.find(VmWatcher.NAME);
@@ -101,12 +101,12 @@
                 random,
                 this::send,
                 kernel.find(AuditTrail.NAME));
-        peers.receive(CHANNEL, this::received);
+        peers.registerListener(CHANNEL, this::received);
         peers.onView(this::view);
         store.onChange(configuration -> loop.execute(this::refresh));
         vms.onChange(list -> loop.execute(this::refresh));
-        loop.every(TICK, this::tick);
-        loop.every(OWNERS_PERIOD, this::owners);
+        loop.schedulePeriodically(TICK, this::tick);
+        loop.schedulePeriodically(OWNERS_PERIOD, this::owners);
         return List.of();
     }
 
@@ -291,7 +291,7 @@
         byUpstream.clear();
         for (CellWorkers workers : published.values()) {
             CellRuntime cell =
-                    cells.computeIfAbsent(workers.key(), key -> new CellRuntime(workers, peers.life(), context));
+                    cells.computeIfAbsent(workers.key(), key -> new CellRuntime(workers, peers.incarnation(), context));
             cell.workers(workers, daemons, loop.nowNanos());
             byUpstream
                     .computeIfAbsent(workers.upstream().name(), name -> new ArrayList<>())
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
@@ -11,8 +11,8 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
-import org.dotterelcourse.daemon.peers.CallerAddress;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
+import org.dotterelcourse.daemon.peers.DaemonAddress;
 import org.dotterelcourse.daemon.peers.Peers;
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         peers = kernel.find(Peers.NAME);
         return List.of();
     }
@@ -57,7 +57,7 @@
     }
 
     void callersPort(int port) {
-        peers.callersPort(port);
+        peers.publishCallersPort(port);
     }
 
     /** Each caller gets the same few daemons as long as they live, so that its connections are used again. */
@@ -65,7 +65,7 @@
         ObjectNode answer = json.createObjectNode();
         answer.put("timeToLiveSeconds", settings.addressesTimeToLive().toSeconds());
         ArrayNode list = answer.putArray("addresses");
-        for (CallerAddress address : peers.callerAddresses(headers.get("Authorization", ""))) {
+        for (DaemonAddress address : peers.daemonAddresses(headers.get("Authorization", ""))) {
             list.addObject()
                     .put("address", address.address())
                     .put("dataCentre", address.dataCentre())
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/CallersEdge.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/CallersEdge.java
@@ -9,11 +9,11 @@
 import org.dotterelcourse.configuration.DaemonSettings;
 import org.dotterelcourse.daemon.dispatch.Dispatchers;
 import org.dotterelcourse.daemon.dispatch.Failure;
-import org.dotterelcourse.daemon.http.BoundedBody;
+import org.dotterelcourse.daemon.http.BoundedBodyCollector;
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.limits.Limits;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
 import org.dotterelcourse.daemon.once.OnceGate;
@@ -72,13 +72,13 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         addresses = kernel.find(AddressBook.NAME);
         RequestMetrics metrics = kernel.find(RequestMetrics.NAME);
         Dispatchers dispatchers = kernel.find(Dispatchers.NAME);
         Tickets once = kernel.find(Tickets.NAME);
         CallerCheck check = new CallerCheck(kernel.find(ConfigurationStore.NAME));
-        BoundedBody bodies = new BoundedBody(settings.maxBodyBytes());
+        BoundedBodyCollector bodies = new BoundedBodyCollector(settings.maxBodyBytes());
         EntryGate gate = new EntryGate(kernel.find(Limits.NAME), new OnceGate(once));
         Refuser refuser = new Refuser(metrics);
         chats = new ChatRoute(check, bodies, gate, new ChatHandler(dispatchers.chat(), metrics), refuser);
@@ -93,7 +93,7 @@
             addresses.callersPort(server.port());
             return List.of();
         } catch (ChannelBindException e) {
-            return List.of(new StartFinding(NAME.value(), "can't listen for callers: " + e.getMessage()));
+            return List.of(new StartupFailure(NAME.value(), "can't listen for callers: " + e.getMessage()));
         }
     }
 
@@ -146,7 +146,7 @@
                     inFlight.enter();
                     return route(new Exchange(id, arrivalNanos, request, response));
                 })
-                .onErrorResume(BoundedBody.TooLargeException.class, error -> tooLarge(response, id))
+                .onErrorResume(BoundedBodyCollector.TooLargeException.class, error -> tooLarge(response, id))
                 .onErrorResume(error -> internalError(error, response, id))
                 .doFinally(signal -> inFlight.leave());
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
@@ -6,9 +6,9 @@
 import org.dotterelcourse.daemon.dispatch.AnswerEvent;
 import org.dotterelcourse.daemon.dispatch.ChatCall;
 import org.dotterelcourse.daemon.dispatch.ChatDispatcher;
-import org.dotterelcourse.daemon.metrics.RequestEnd;
+import org.dotterelcourse.daemon.metrics.RequestEndListener;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
-import org.dotterelcourse.daemon.metrics.RequestWatch;
+import org.dotterelcourse.daemon.metrics.RequestTracker;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Signal;
@@ -30,9 +30,10 @@
         this.metrics = metrics;
     }
 
-    Mono<Void> handle(ChatCall call, HttpServerResponse response, RequestEnd ended) {
-        RequestWatch watch = metrics.watch(call.id(), call.customer(), call.requestClass(), call.arrivalNanos(), ended);
-        Flux<AnswerEvent> events = watch.watch(dispatcher.dispatch(call, watch));
+    Mono<Void> handle(ChatCall call, HttpServerResponse response, RequestEndListener ended) {
+        RequestTracker watch =
+                metrics.track(call.id(), call.customer(), call.requestClass(), call.arrivalNanos(), ended);
+        Flux<AnswerEvent> events = watch.track(dispatcher.dispatch(call, watch));
         boolean stream = call.body().path("stream").asBoolean(false);
         return stream ? stream(call, events, response) : whole(call, events, response);
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
@@ -5,10 +5,10 @@
 import org.dotterelcourse.daemon.dispatch.ServiceAnswer;
 import org.dotterelcourse.daemon.dispatch.ServiceDispatcher;
 import org.dotterelcourse.daemon.dispatch.ServiceRequest;
-import org.dotterelcourse.daemon.http.BoundedBody;
-import org.dotterelcourse.daemon.metrics.RequestEnd;
+import org.dotterelcourse.daemon.http.BoundedBodyCollector;
+import org.dotterelcourse.daemon.metrics.RequestEndListener;
 import org.dotterelcourse.daemon.metrics.RequestMetrics;
-import org.dotterelcourse.daemon.metrics.RequestWatch;
+import org.dotterelcourse.daemon.metrics.RequestTracker;
 import reactor.core.publisher.Mono;
 
 /** Checks calls to plain services, passes them through and passes the answers back. */
@@ -17,7 +17,7 @@
     static final String PREFIX = "/v1/services/";
 
     private final CallerCheck check;
-    private final BoundedBody bodies;
+    private final BoundedBodyCollector bodies;
     private final EntryGate gate;
     private final ServiceDispatcher dispatcher;
     private final RequestMetrics metrics;
@@ -25,7 +25,7 @@
 
     ServiceRoute(
             CallerCheck check,
-            BoundedBody bodies,
+            BoundedBodyCollector bodies,
             EntryGate gate,
             ServiceDispatcher dispatcher,
             RequestMetrics metrics,
@@ -90,10 +90,10 @@
                         end -> answer(exchange, request, end)));
     }
 
-    private Mono<Void> answer(Exchange exchange, ServiceRequest request, RequestEnd end) {
-        RequestWatch watch =
-                metrics.watch(request.id(), request.customer(), request.requestClass(), request.arrivalNanos(), end);
-        Mono<ServiceAnswer> answer = watch.watch(dispatcher.dispatch(request, watch));
+    private Mono<Void> answer(Exchange exchange, ServiceRequest request, RequestEndListener end) {
+        RequestTracker watch =
+                metrics.track(request.id(), request.customer(), request.requestClass(), request.arrivalNanos(), end);
+        Mono<ServiceAnswer> answer = watch.track(dispatcher.dispatch(request, watch));
         return answer.flatMap(result -> {
             if (result instanceof ServiceAnswer.Answered answered) {
                 return Replies.answered(
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -28,7 +28,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.daemon.platform.ConfigurationStore;
 import reactor.core.publisher.Mono;
@@ -84,18 +84,18 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(ControlLoop.NAME);
         peers = kernel.find(Peers.NAME);
         region = peers.region();
         LimitSettings settings = LimitSettings.defaults().withOpening(1);
-        client = new LimitClient(peers.life(), settings, this::homeOf);
+        client = new LimitClient(peers.incarnation(), settings, this::homeOf);
         home = new LimitHome(settings, loop.nowNanos());
         ownership = new Ownership(List.of(), 0, loop.nowNanos());
-        peers.receive(CHANNEL, this::received);
+        peers.registerListener(CHANNEL, this::received);
         peers.onView(this::view);
         kernel.find(ConfigurationStore.NAME).onChange(next -> loop.execute(() -> configured(next)));
-        loop.every(TICK, () -> carryOut(client.advance(loop.nowNanos())));
+        loop.schedulePeriodically(TICK, () -> carryOut(client.advance(loop.nowNanos())));
         return List.of();
     }
 
@@ -146,7 +146,7 @@
             return;
         }
         held.merge(call.customer(), 1, Integer::sum);
-        loop.after(retryAfterNanos, () -> {
+        loop.scheduleOnce(retryAfterNanos, () -> {
             held.computeIfPresent(call.customer(), (name, count) -> count == 1 ? null : count - 1);
             take(new Waiting(call.customer(), call.tokens(), untilNanos, call.sink()));
         });
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -19,7 +19,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
@@ -68,17 +68,17 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(ControlLoop.NAME);
         peers = kernel.find(Peers.NAME);
-        MemberId self = new MemberId(peers.self(), peers.life());
+        MemberId self = new MemberId(peers.self(), peers.incarnation());
         byte[] key = new byte[KEY_BYTES];
         new SecureRandom().nextBytes(key);
         TicketSettings settings = TicketSettings.defaults();
         mint = new TicketMint(self, key, settings);
         desk = new TicketDesk(self, mint, settings);
-        peers.receive(CHANNEL, this::received);
-        loop.every(TICK, () -> carryOut(desk.advance(loop.nowNanos())));
+        peers.registerListener(CHANNEL, this::received);
+        loop.schedulePeriodically(TICK, () -> carryOut(desk.advance(loop.nowNanos())));
         return List.of();
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -18,7 +18,7 @@
 import org.dotterelcourse.daemon.kernel.Kernel;
 import org.dotterelcourse.daemon.kernel.Service;
 import org.dotterelcourse.daemon.kernel.ServiceName;
-import org.dotterelcourse.daemon.kernel.StartFinding;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.gateway.GatewayLoop;
 import org.dotterelcourse.gateway.GatewayState;
@@ -126,14 +126,14 @@
     }
 
     @Override
-    public List<StartFinding> start(Kernel kernel) {
+    public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
         state = kernel.find(GatewayState.NAME);
         publications = kernel.find(Publications.NAME);
         relay = kernel.find(ItemRelay.NAME);
         peers = kernel.find(Peers.NAME);
         transport = peers.transport();
-        transport.receive(
+        transport.registerHandler(
                 LOADS, message -> loop.execute(() -> loads(message.sender().name(), message.body())));
         loop.after(DIRECT_PERIOD_MILLIS, this::tell);
         return List.of();
