--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/ColdStartTracker.java
@@ -1,52 +1,53 @@
 package org.dotterelcourse.policy.cold;
 
 /**
- * Until when one worker is taken for cold: by its own word, or because it may have started again unnoticed.
+ * Tracks whether one worker is in its cold start, from the worker's own report or from signs of an unreported restart.
  *
- * <p>A worker's word of its start comes some tenths of a second after its first answer. In between it looks like any
- * other, only idle, and would get the requests of all processes at once. So what it did before is taken for a sign: a
- * worker that could not be reached, or that broke its requests, is probably a new process when it answers again; and
- * the workers of a data centre that was evacuated are cold when it is taken back.
+ * <p>A worker reports its start some tenths of a second after its first answer. Until then it looks like any other idle
+ * worker, and all processes would send it requests at once. The tracker therefore also assumes a restart where one is
+ * likely: a worker that could not be reached or broke its requests is probably a new process when it answers again, and
+ * the workers of an evacuated data centre are cold when it is put back into service.
  */
 public final class ColdStartTracker {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private boolean told;
-    private long toldUntilNanos;
-    private boolean assumed;
-    private long assumedNanos;
+    private boolean reportedCold;
+    private long reportedUntilNanos;
+    private boolean assumedCold;
+    private long assumedSinceNanos;
 
     /**
-     * The worker has said how much longer it is cold.
+     * Records the worker's report of the rest of its cold start. It replaces an earlier report.
      *
-     * @param millis the time; 0 if it is not
-     * @param nowNanos the time of its word
+     * @param remainingMillis remaining time in milliseconds; 0 if the worker is not cold
+     * @param nowNanos monotonic time in nanoseconds at which the report was received
      */
-    public void recordReport(long millis, long nowNanos) {
-        told = millis > 0;
-        toldUntilNanos = nowNanos + millis * NANOS_PER_MILLI;
+    public void recordReport(long remainingMillis, long nowNanos) {
+        reportedCold = remainingMillis > 0;
+        reportedUntilNanos = nowNanos + remainingMillis * NANOS_PER_MILLI;
     }
 
     /**
-     * The worker may just have started.
+     * Assumes that the worker is restarting now.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void assumeRestarted(long nowNanos) {
-        assumed = true;
-        assumedNanos = nowNanos;
+        assumedCold = true;
+        assumedSinceNanos = nowNanos;
     }
 
     /**
-     * Whether the worker is taken for cold.
+     * Whether the worker counts as cold.
      *
-     * @param coldStart what the workers of its upstream bear
-     * @param nowNanos the time
-     * @return true until both its own time and that of the last sign are over
+     * @param coldStart cold-start limits of the worker's upstream
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return true until both the reported time and the configured time since the last assumed restart have passed; always
+     *     false if the upstream has no limits
      */
     public boolean isCold(ColdStart coldStart, long nowNanos) {
         return coldStart.hasRateLimit()
-                && (told && nowNanos - toldUntilNanos < 0
-                        || assumed && nowNanos - assumedNanos < coldStart.millis() * NANOS_PER_MILLI);
+                && (reportedCold && nowNanos - reportedUntilNanos < 0
+                        || assumedCold && nowNanos - assumedSinceNanos < coldStart.millis() * NANOS_PER_MILLI);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cold/package-info.java
@@ -1,2 +1,2 @@
-/** When a worker is taken for cold, that is, slow because it has just started. */
+/** Tracks the cold start of workers: the time after a start in which a worker takes fewer requests. */
 package org.dotterelcourse.policy.cold;
