--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/LocalSuspicion.java
@@ -1,101 +1,105 @@
 package org.dotterelcourse.policy.repeat;
 
 /**
- * Whether one worker should be left out for a while, judged by how requests sent there ended.
+ * Outlier detection for one worker, based on the outcomes of this process's own requests: the number of consecutive failures
+ * and an exponentially weighted average (EWMA) of the failure rate.
  *
- * <p>It answers a worker that is gone or fails part of its requests while its health check is good. Without it, each
- * process goes on sending it a share of all requests until the platform takes it off the list, or for ever. A worker is
- * left out after some failures in a row, longer each time, and one success ends it. That others are there to take the
- * load is for the selectors to see: they fall back to suspected workers when there are no others.
+ * <p>It handles a worker that has disappeared or fails some of its requests while its health check passes. Without it, each process
+ * would send the worker a share of all requests until the platform removes it from the list, possibly never. The worker is
+ * avoided for a time that doubles with each further suspicion; a success ends the suspicion, provided that the failure rate
+ * is low. Whether other workers can take the load is up to the selectors, which use suspected workers if there are no
+ * others.
  */
 public final class LocalSuspicion {
-    private static final long MILLISECOND = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** A single refused connection or reset may be chance; two in a row from one worker are rarely. */
-    private static final int FAILURES_IN_ROW = 2;
+    /** A single refused or reset connection may be chance; two in a row from one worker rarely are. */
+    private static final int CONSECUTIVE_FAILURES = 2;
 
-    private static final long FIRST_PAUSE_NANOS = 500 * MILLISECOND;
-    private static final long LONGEST_PAUSE_NANOS = 4_000 * MILLISECOND;
+    private static final long INITIAL_BACKOFF_NANOS = 500 * NANOS_PER_MILLI;
+    private static final long MAX_BACKOFF_NANOS = 4_000 * NANOS_PER_MILLI;
 
     /**
-     * Part of its requests that a worker must fail lately to be left out though some succeed. Services in use answer up to
-     * 14 in 100 requests with a failure of their own while nothing is wrong; three standard deviations of the average
-     * above that are 0.38.
+     * Average failure rate above which a worker is avoided even though some requests succeed. Services in use answer up to
+     * 14 in 100 requests with an error during normal operation; three standard deviations of the average above that are
+     * 0.38.
      */
     private static final double FAILING_SHARE = 0.4;
 
-    /** Weight of the newest outcome in the average; the last twenty or so decide. */
-    private static final double NEWEST = 0.1;
+    /** Weight of the newest outcome in the average, which then covers about the last twenty outcomes. */
+    private static final double NEWEST_WEIGHT = 0.1;
 
-    private int failuresInRow;
+    private int consecutiveFailures;
     private double failingShare;
     private long suspectedUntilNanos;
-    private long pauseNanos = FIRST_PAUSE_NANOS;
+    private long backoffNanos = INITIAL_BACKOFF_NANOS;
     private boolean suspected;
 
     /**
-     * A request has ended well there.
+     * Records a successful request.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordSuccess(long nowNanos) {
-        failuresInRow = 0;
-        failingShare *= 1 - NEWEST;
+        consecutiveFailures = 0;
+        failingShare *= 1 - NEWEST_WEIGHT;
         if (failingShare < FAILING_SHARE / 2) {
-            pauseNanos = FIRST_PAUSE_NANOS;
+            backoffNanos = INITIAL_BACKOFF_NANOS;
             suspected = false;
         }
     }
 
     /**
-     * A request has broken there: its connection was reset, its answer was cut, or it was refused.
+     * Records a request that failed without a complete answer: its connection was reset, its answer was truncated, or it was
+     * rejected.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordFailure(long nowNanos) {
-        failuresInRow++;
+        consecutiveFailures++;
         recordErrorResponse(nowNanos);
-        if (failuresInRow >= FAILURES_IN_ROW) {
+        if (consecutiveFailures >= CONSECUTIVE_FAILURES) {
             suspect(nowNanos);
         }
     }
 
     /**
-     * The worker has answered whole, with a failure of its own. Some of those are usual, also two in a row.
+     * Records a complete answer that reports an error of the worker. Some of these are normal, even two in a row, so they
+     * count for the failure rate but not as consecutive failures.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordErrorResponse(long nowNanos) {
-        failingShare = failingShare * (1 - NEWEST) + NEWEST;
+        failingShare = failingShare * (1 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
         if (failingShare > FAILING_SHARE) {
             suspect(nowNanos);
         }
     }
 
     /**
-     * No connection to the worker could be made: nothing listens there, or nobody answers. Once is enough, since every
-     * further request would find the same.
+     * Records that no connection to the worker could be established: it was refused or timed out. One failure suffices to
+     * avoid the worker, since each further request would fail the same way.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordConnectFailure(long nowNanos) {
-        failuresInRow++;
+        consecutiveFailures++;
         suspect(nowNanos);
     }
 
     private void suspect(long nowNanos) {
         if (!isSuspected(nowNanos)) {
-            suspectedUntilNanos = nowNanos + pauseNanos;
-            pauseNanos = Math.min(LONGEST_PAUSE_NANOS, 2 * pauseNanos);
+            suspectedUntilNanos = nowNanos + backoffNanos;
+            backoffNanos = Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
         }
         suspected = true;
     }
 
     /**
-     * Whether it should be left out.
+     * Whether the worker should be avoided.
      *
-     * @param nowNanos the time
-     * @return true while its pause lasts
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return true until the backoff has passed or a success has ended the suspicion
      */
     public boolean isSuspected(long nowNanos) {
         return suspected && nowNanos - suspectedUntilNanos < 0;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/RecentOutcomes.java
@@ -1,69 +1,69 @@
 package org.dotterelcourse.policy.repeat;
 
 /**
- * How requests at one worker lately ended, as counts that fade by half in each half-life.
+ * Counts the recent successes and failures of requests at one worker, with exponential decay.
  *
- * <p>Counts of several processes can be added up, which the averages of {@link LocalSuspicion} can't. It answers a large
- * fleet, where each process sends a worker a request every ten seconds or so: alone, it would find a failing worker only
- * after half a minute.
+ * <p>Unlike the averages of {@link LocalSuspicion}, the counts of several processes can be added up. This serves large
+ * fleets, in which one process sends a worker a request only about every ten seconds and would by itself detect a failing
+ * worker only after half a minute.
  */
 public final class RecentOutcomes {
     /**
-     * Long enough that a worker which is left out stays so for some seconds, as long as crashed ones are away; short
-     * enough that one which has recovered is used again within ten seconds.
+     * Half-life of the counts: long enough to avoid a suspected worker for several seconds, about as long as crashed
+     * workers are absent, and short enough to use a recovered worker again within ten seconds.
      */
     private static final double HALF_LIFE_NANOS = 3e9;
 
-    private double succeeded;
-    private double failed;
+    private double successes;
+    private double failures;
     private long lastNanos;
 
     /**
-     * A request has ended well.
+     * Records a successful request.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordSuccess(long nowNanos) {
-        fade(nowNanos);
-        succeeded++;
+        decay(nowNanos);
+        successes++;
     }
 
     /**
-     * A request has failed.
+     * Records a failed request.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordFailure(long nowNanos) {
-        fade(nowNanos);
-        failed++;
+        decay(nowNanos);
+        failures++;
     }
 
     /**
-     * Requests that lately ended well.
+     * Decayed count of successful requests.
      *
-     * @param nowNanos the time
-     * @return their faded count
+     * @param nowNanos current monotonic time in nanoseconds, to which the count is decayed
+     * @return the count, which is usually not a whole number
      */
     public double recentSuccesses(long nowNanos) {
-        fade(nowNanos);
-        return succeeded;
+        decay(nowNanos);
+        return successes;
     }
 
     /**
-     * Requests that lately failed.
+     * Decayed count of failed requests.
      *
-     * @param nowNanos the time
-     * @return their faded count
+     * @param nowNanos current monotonic time in nanoseconds, to which the count is decayed
+     * @return the count, which is usually not a whole number
      */
     public double recentFailures(long nowNanos) {
-        fade(nowNanos);
-        return failed;
+        decay(nowNanos);
+        return failures;
     }
 
-    private void fade(long nowNanos) {
+    private void decay(long nowNanos) {
         double factor = Math.pow(0.5, Math.max(0, nowNanos - lastNanos) / HALF_LIFE_NANOS);
         lastNanos = nowNanos;
-        succeeded *= factor;
-        failed *= factor;
+        successes *= factor;
+        failures *= factor;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/SharedSuspicion.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/SharedSuspicion.java
@@ -1,43 +1,47 @@
 package org.dotterelcourse.policy.repeat;
 
 /**
- * Whether one worker should be left out, judged by how the requests of all processes lately ended there.
+ * Outlier detection for one worker, based on the outcomes that all processes have recently seen there. It has hysteresis:
+ * the thresholds that end a suspicion are lower than those that start it.
  *
- * <p>It answers a worker that fails half of its requests at once while its health check is good. Once it is left out, its
- * counts of {@link RecentOutcomes} only fade; judged by the count alone it is back within a second, has to fail some
- * requests of many processes anew, and so on for as long as it is ill. So a worker that was left out stays so until its
- * failures are all but forgotten, or successes have come that speak for it.
+ * <p>It handles a worker that fails half of its requests while its health check passes. Once the worker is avoided, its
+ * counts of {@link RecentOutcomes} only decay. With a single threshold, it would be used again within a second, would have
+ * to fail requests of many processes once more, and so on for as long as it is faulty. A suspected worker therefore stays
+ * suspected until its failures have decayed almost completely or enough requests have succeeded.
  */
 public final class SharedSuspicion {
-    /** Failures of all processes together that one worker must have had: one or two may be chance. */
-    private static final double LEAST_FAILED = 2.5;
+    /** Failures over all processes that start a suspicion: one or two may be chance. */
+    private static final double MIN_FAILURES = 2.5;
 
     /**
-     * Failures at which a worker is tried again. Two half-lives after it was left out for the fewest failures: some six
-     * seconds, about as long as crashed workers are away.
+     * Failures below which a suspicion ends. They are reached two half-lives after a suspicion that started with the fewest
+     * failures, that is, after about six seconds, about as long as crashed workers are absent.
      */
-    private static final double FORGOTTEN = 0.6;
+    private static final double RECOVERY_FAILURES = 0.6;
 
-    /** As for one process: well above the failures of services that answer up to 14 in 100 requests with one. */
+    /**
+     * Share of failures that starts a suspicion, the same as in {@link LocalSuspicion}: well above that of services that
+     * answer up to 14 in 100 requests with an error.
+     */
     private static final double FAILING_SHARE = 0.4;
 
-    /** A worker with successes that leave it below this share is as sound as others. */
-    private static final double SOUND_SHARE = 0.25;
+    /** Share of failures below which a suspicion ends, because the worker is then as healthy as others. */
+    private static final double HEALTHY_SHARE = 0.25;
 
     private boolean suspected;
 
     /**
-     * Judges.
+     * Updates the suspicion from the current counts.
      *
-     * @param succeeded requests that lately ended well there, of all processes
-     * @param failed requests that lately failed there, of all processes
-     * @return whether the worker should be left out
+     * @param successes decayed count of successful requests at the worker, over all processes
+     * @param failures decayed count of failed requests at the worker, over all processes
+     * @return true if the worker should be avoided
      */
-    public boolean update(double succeeded, double failed) {
-        double share = failed / Math.max(Double.MIN_NORMAL, failed + succeeded);
-        if (failed >= LEAST_FAILED && share >= FAILING_SHARE) {
+    public boolean update(double successes, double failures) {
+        double share = failures / Math.max(Double.MIN_NORMAL, failures + successes);
+        if (failures >= MIN_FAILURES && share >= FAILING_SHARE) {
             suspected = true;
-        } else if (failed < FORGOTTEN || share < SOUND_SHARE) {
+        } else if (failures < RECOVERY_FAILURES || share < HEALTHY_SHARE) {
             suspected = false;
         }
         return suspected;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WindowedRetryBudget.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/WindowedRetryBudget.java
@@ -4,30 +4,30 @@
 import java.util.Deque;
 
 /**
- * This process's part of the fleet's budget of repeats to one upstream: over any window, a share of the requests that
- * came to this process, and an equal part of a fixed number that all processes have together.
+ * Retry budget of this process for one upstream, over a sliding window. It allows a fraction of the requests that this
+ * process received in the window, plus an equal share of a fixed number of retries for the whole fleet.
  *
- * <p>It answers an upstream that fails or refuses much: without a bound, each failed request becomes two or more and
- * keeps the upstream down. The parts add up to the fleet's budget whatever the processes know of each other, because
- * each counts its own requests and divides the fixed number by the largest fleet that it has seen.
+ * <p>It handles an upstream that fails or rejects many requests: without a limit, each failed request becomes two or more
+ * and keeps the upstream overloaded. The shares stay within the fleet's budget whatever the processes know of each other,
+ * because each counts its own requests and divides the fixed number by the largest fleet size that it has seen.
  */
 public final class WindowedRetryBudget {
-    /** Part of the budget that is used, so that a process that has restarted and counts anew stays within it. */
-    private static final double USED = 0.8;
+    /** Fraction of the budget that is used. The rest covers a restarted process, which counts from zero again. */
+    private static final double USED_FRACTION = 0.8;
 
     private final double ratio;
     private final double extra;
     private final long windowNanos;
-    private final Deque<Long> requests = new ArrayDeque<>();
-    private final Deque<Long> repeats = new ArrayDeque<>();
+    private final Deque<Long> requestTimes = new ArrayDeque<>();
+    private final Deque<Long> retryTimes = new ArrayDeque<>();
     private int processes = 1;
 
     /**
-     * Makes a budget that nothing was spent of.
+     * Creates an unused budget.
      *
-     * @param ratio repeats for each request
-     * @param extra repeats of the whole fleet in a window beside these
-     * @param windowNanos the window's length
+     * @param ratio retries allowed per request
+     * @param extra further retries allowed in each window, for the whole fleet
+     * @param windowNanos length of the window in nanoseconds
      */
     public WindowedRetryBudget(double ratio, double extra, long windowNanos) {
         this.ratio = ratio;
@@ -36,49 +36,49 @@
     }
 
     /**
-     * The size of the fleet is known.
+     * Records the current size of the fleet. The largest recorded size is kept.
      *
-     * @param count processes, this one included
+     * @param count number of processes, including this one
      */
     public void recordFleetSize(int count) {
         processes = Math.max(processes, count);
     }
 
     /**
-     * A request for the upstream has come.
+     * Records a request for the upstream.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordRequest(long nowNanos) {
-        forget(nowNanos);
-        requests.addLast(nowNanos);
+        removeExpired(nowNanos);
+        requestTimes.addLast(nowNanos);
     }
 
     /**
-     * Takes one repeat if there is one left.
+     * Acquires a retry if the budget allows it.
      *
-     * @param nowNanos the time
-     * @return whether the request may be sent once more
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return true if the request may be sent again; false if the budget of the window is exhausted
      */
     public boolean tryAcquire(long nowNanos) {
-        forget(nowNanos);
-        if (repeats.size() + 1 > left()) {
+        removeExpired(nowNanos);
+        if (retryTimes.size() + 1 > limit()) {
             return false;
         }
-        repeats.addLast(nowNanos);
+        retryTimes.addLast(nowNanos);
         return true;
     }
 
-    private double left() {
-        return USED * (ratio * requests.size() + extra / processes);
+    private double limit() {
+        return USED_FRACTION * (ratio * requestTimes.size() + extra / processes);
     }
 
-    private void forget(long nowNanos) {
-        while (!requests.isEmpty() && nowNanos - requests.peekFirst() > windowNanos) {
-            requests.removeFirst();
+    private void removeExpired(long nowNanos) {
+        while (!requestTimes.isEmpty() && nowNanos - requestTimes.peekFirst() > windowNanos) {
+            requestTimes.removeFirst();
         }
-        while (!repeats.isEmpty() && nowNanos - repeats.peekFirst() > windowNanos) {
-            repeats.removeFirst();
+        while (!retryTimes.isEmpty() && nowNanos - retryTimes.peekFirst() > windowNanos) {
+            retryTimes.removeFirst();
         }
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/repeat/package-info.java
@@ -1,2 +1,2 @@
-/** How often requests may be sent a second time, and which workers are left out for a while after failures. */
+/** Retry budgets of upstreams, and outlier detection: which workers are avoided for a while after failures. */
 package org.dotterelcourse.policy.repeat;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/LocalSuspicionTest.java
@@ -7,56 +7,55 @@
 class LocalSuspicionTest {
     private static final long SECOND = 1_000_000_000L;
 
-    private final LocalSuspicion trust = new LocalSuspicion();
+    private final LocalSuspicion suspicion = new LocalSuspicion();
 
     @Test
-    void oneFailureMayBeChance() {
-        trust.recordFailure(0);
-        assertThat(trust.isSuspected(1)).isFalse();
+    void aSingleFailureDoesNotMakeAWorkerSuspected() {
+        suspicion.recordFailure(0);
+        assertThat(suspicion.isSuspected(1)).isFalse();
     }
 
-    // A worker has crashed. Every further request would wait for a connection that never comes.
+    // A worker has crashed. Every further request would wait for a connection that cannot be established.
     @Test
-    void aWorkerThatCannotBeReachedIsLeftOutAtOnce() {
-        trust.recordConnectFailure(0);
-        assertThat(trust.isSuspected(1)).isTrue();
-        assertThat(trust.isSuspected(SECOND)).isFalse();
+    void aConnectFailureMakesAWorkerSuspectedAtOnce() {
+        suspicion.recordConnectFailure(0);
+        assertThat(suspicion.isSuspected(1)).isTrue();
+        assertThat(suspicion.isSuspected(SECOND)).isFalse();
     }
 
-    // A service answers every seventh request with a failure while nothing is wrong. If two in a row were enough, one
-    // of
-    // three workers would be left out again and again, and the others would queue.
+    // A service answers every seventh request with an error during normal operation. If two errors in a row sufficed,
+    // one of three workers would be avoided again and again, and requests would queue at the others.
     @Test
-    void someFailuresOfItsOwnAreNoReasonToLeaveAWorkerOut() {
-        trust.recordErrorResponse(0);
-        trust.recordErrorResponse(0);
+    void occasionalErrorResponsesDoNotMakeAWorkerSuspected() {
+        suspicion.recordErrorResponse(0);
+        suspicion.recordErrorResponse(0);
         for (int i = 0; i < 70; i++) {
             if (i % 7 == 0) {
-                trust.recordErrorResponse(i);
+                suspicion.recordErrorResponse(i);
             } else {
-                trust.recordSuccess(i);
+                suspicion.recordSuccess(i);
             }
-            assertThat(trust.isSuspected(i + 1)).isFalse();
+            assertThat(suspicion.isSuspected(i + 1)).isFalse();
         }
     }
 
-    // A worker fails half of its requests while its health check is good. No two failures need to be in a row.
+    // A worker fails half of its requests while its health check passes. It may never fail two requests in a row.
     @Test
-    void aWorkerThatFailsEverySecondRequestIsLeftOut() {
+    void aWorkerThatFailsEverySecondRequestIsSuspected() {
         for (int i = 0; i < 40; i++) {
-            trust.recordErrorResponse(i);
-            trust.recordSuccess(i);
+            suspicion.recordErrorResponse(i);
+            suspicion.recordSuccess(i);
         }
-        trust.recordErrorResponse(40);
-        assertThat(trust.isSuspected(41)).isTrue();
+        suspicion.recordErrorResponse(40);
+        assertThat(suspicion.isSuspected(41)).isTrue();
     }
 
     @Test
-    void aWorkerThatGoesOnFailingIsLeftOutForLongerEachTime() {
-        trust.recordConnectFailure(0);
-        trust.recordConnectFailure(SECOND);
-        assertThat(trust.isSuspected(SECOND + 900_000_000L)).isTrue();
-        trust.recordSuccess(3 * SECOND);
-        assertThat(trust.isSuspected(3 * SECOND)).isFalse();
+    void theBackoffOfAWorkerThatKeepsFailingGrows() {
+        suspicion.recordConnectFailure(0);
+        suspicion.recordConnectFailure(SECOND);
+        assertThat(suspicion.isSuspected(SECOND + 900_000_000L)).isTrue();
+        suspicion.recordSuccess(3 * SECOND);
+        assertThat(suspicion.isSuspected(3 * SECOND)).isFalse();
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/RecentOutcomesTest.java
@@ -11,7 +11,7 @@
     private final RecentOutcomes outcomes = new RecentOutcomes();
 
     @Test
-    void countsFadeByHalfInThreeSeconds() {
+    void countsDecayByHalfInThreeSeconds() {
         outcomes.recordSuccess(SECOND);
         outcomes.recordFailure(SECOND);
         outcomes.recordFailure(SECOND);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/SharedSuspicionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/SharedSuspicionTest.java
@@ -7,25 +7,24 @@
 class SharedSuspicionTest {
     private final SharedSuspicion suspicion = new SharedSuspicion();
 
-    // A service answers one in seven requests with a failure while nothing is wrong. Its workers must stay in use.
+    // A service answers one in seven requests with an error during normal operation. Its workers must stay in use.
     @Test
-    void usualFailuresAreNotSuspicious() {
+    void theUsualFailureRateDoesNotMakeAWorkerSuspected() {
         assertThat(suspicion.update(30, 5)).isFalse();
         assertThat(suspicion.update(0, 2)).isFalse();
     }
 
-    // A worker has crashed: requests of several processes fail there within a second.
+    // A worker has crashed, and requests of several processes fail there within a second.
     @Test
-    void aWorkerThatFailsMostRequestsIsSuspicious() {
+    void aWorkerThatFailsMostRequestsIsSuspected() {
         assertThat(suspicion.update(0, 3)).isTrue();
         assertThat(new SharedSuspicion().update(4, 4)).isTrue();
     }
 
-    // A worker that fails half of its requests is left out, and nothing more is heard of it. If it were tried again as
-    // soon
-    // as one failure has faded, it would fail the requests of a few more clients each second.
+    // A worker that fails half of its requests is avoided and has no new outcomes. If it were used again as soon as one
+    // failure had decayed, it would fail requests of a few more clients each second.
     @Test
-    void aWorkerThatWasLeftOutStaysSoWhileItsFailuresFade() {
+    void aSuspectedWorkerStaysSuspectedUntilItsFailuresHaveDecayed() {
         assertThat(suspicion.update(2, 3)).isTrue();
         assertThat(suspicion.update(1, 1.5)).isTrue();
         assertThat(suspicion.update(0.5, 0.7)).isTrue();
@@ -33,9 +32,9 @@
         assertThat(suspicion.update(1, 1.5)).isFalse();
     }
 
-    // Requests that were under way at the worker end well, many of them: it has recovered, and its capacity is wanted.
+    // Many requests that were in flight at the worker succeed: it has recovered, and its capacity is needed.
     @Test
-    void successesEndASuspicionAtOnce() {
+    void enoughSuccessesEndASuspicionAtOnce() {
         assertThat(suspicion.update(0, 3)).isTrue();
         assertThat(suspicion.update(20, 3)).isFalse();
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
@@ -16,8 +16,8 @@
     private static final double RATIO = 0.2;
     private static final int EXTRA = 20;
 
-    // An upstream fails everything for a while, and every process wants to repeat every request. In no window may the
-    // fleet send more repeats than its budget, whatever each process knows of the others.
+    // An upstream fails every request for a while, and every process retries as often as it may. In no window may the
+    // fleet send more retries than its budget allows.
     @Property(tries = 200, seed = "7")
     void aFleetStaysWithinItsBudgetInEveryWindow(
             @ForAll @IntRange(min = 1, max = 8) int processes,
@@ -29,7 +29,7 @@
             fleet.add(budget);
         }
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         long now = 0;
         for (int i = 0; i < gapsMillis.size(); i++) {
             now += gapsMillis.get(i) * 1_000_000L;
@@ -37,23 +37,25 @@
             budget.recordRequest(now);
             requests.add(now);
             while (budget.tryAcquire(now)) {
-                repeats.add(now);
+                retries.add(now);
             }
-            long from = now - 10 * SECOND;
-            long inWindow = repeats.stream().filter(at -> at >= from).count();
-            long asked = requests.stream().filter(at -> at >= from).count();
-            assertThat((double) inWindow).isLessThanOrEqualTo(RATIO * asked + EXTRA);
+            long windowStart = now - 10 * SECOND;
+            long retriesInWindow =
+                    retries.stream().filter(at -> at >= windowStart).count();
+            long requestsInWindow =
+                    requests.stream().filter(at -> at >= windowStart).count();
+            assertThat((double) retriesInWindow).isLessThanOrEqualTo(RATIO * requestsInWindow + EXTRA);
         }
     }
 
     @Test
-    void aSpentBudgetComesBackWithTime() {
+    void aUsedBudgetIsAvailableAgainAfterTheWindow() {
         WindowedRetryBudget budget = new WindowedRetryBudget(0, 10, 10 * SECOND);
-        int taken = 0;
+        int acquired = 0;
         while (budget.tryAcquire(0)) {
-            taken++;
+            acquired++;
         }
-        assertThat(taken).isEqualTo(8);
+        assertThat(acquired).isEqualTo(8);
         assertThat(budget.tryAcquire(9 * SECOND)).isFalse();
         assertThat(budget.tryAcquire(11 * SECOND)).isTrue();
     }
