--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/CachedPrefixes.java
@@ -8,148 +8,155 @@
 import java.util.function.Predicate;
 
 /**
- * Which worker has lately read which shared parts of prompts, by what this process and its peers have sent there. The
- * least recently used parts are forgotten, as engines do.
+ * Tracks which shared prompt parts each worker probably holds in its prefix cache, inferred from the requests that this
+ * process and its peers have sent. Evicts the least recently used parts, as engines do.
  *
- * <p>Parts and incarnations of workers are known by hashes, which are short enough to be told to peers several times a
- * second. Two with the same hash cost a prompt a bad place at worst. A worker that starts again has read nothing, which
- * its new incarnation says.
+ * <p>Parts and worker incarnations are identified by hashes, which are short enough to be reported to peers several times
+ * a second. A hash collision can at worst send a prompt to a less suitable worker. A restarted worker has a new incarnation
+ * and therefore an empty cache.
  */
 public final class CachedPrefixes {
-    /** Parts that are remembered; an engine of half a million tokens holds some hundred parts of a few thousand. */
-    private static final int MOST_PARTS = 8_192;
+    /** An engine with a cache of half a million tokens holds a few hundred parts of a few thousand tokens each. */
+    private static final int MAX_PARTS = 8_192;
 
-    /** How long a part is taken to be there: engines evict what is not used while their memory is short. */
-    private static final long KEPT_NANOS = 30_000_000_000L;
+    /** Time after its last use for which a part counts as cached: engines that run short of memory evict unused parts. */
+    private static final long CACHE_RETENTION_NANOS = 30_000_000_000L;
 
-    /** A part that is used at the same worker again is told to peers only after this time, well within the one above. */
-    private static final long TOLD_AGAIN_NANOS = 8_000_000_000L;
+    /**
+     * Shortest time between two reports of the same part and worker to peers, well below {@link #CACHE_RETENTION_NANOS}.
+     */
+    private static final long REPORT_INTERVAL_NANOS = 8_000_000_000L;
 
-    /** How long a prompt usually waits and is read at a busy engine: half a second in the median of days of high load. */
-    private static final long UNREAD_NANOS = 500_000_000L;
+    /** Usual time until a busy engine has read a prompt: the median over days of high load is half a second. */
+    private static final long PREFILL_DELAY_NANOS = 500_000_000L;
 
-    /** Places that wait to be told; more can come only while nobody asks for them. */
-    private static final int MOST_UNTOLD = 2_048;
+    /** Limit of the unreported locations; it is reached only while nothing drains them. */
+    private static final int MAX_UNREPORTED = 2_048;
 
-    private final Map<Integer, Map<Integer, Use>> usesByPart = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<Integer, Map<Integer, Usage>> usagesByPart = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Integer, Map<Integer, Use>> eldest) {
-            return size() > MOST_PARTS;
+        protected boolean removeEldestEntry(Map.Entry<Integer, Map<Integer, Usage>> eldest) {
+            return size() > MAX_PARTS;
         }
     };
 
-    private List<PartLocation> untold = new ArrayList<>();
+    private List<PartLocation> unreported = new ArrayList<>();
 
     /**
-     * A part that a worker has read.
+     * A prompt part and a worker that has been sent it.
      *
-     * @param part hash of the part's name
-     * @param worker the worker's incarnation
+     * @param part hash of the part's id
+     * @param worker incarnation of the worker
      */
     public record PartLocation(int part, int worker) {}
 
-    private record Use(long sinceNanos, long usedNanos, long toldNanos) {}
+    private record Usage(long firstSentNanos, long lastUsedNanos, long reportedNanos) {}
 
     /**
-     * A prompt is sent to a worker.
+     * Records that a prompt was sent to a worker.
      *
      * @param prompt the prompt
-     * @param worker the worker's incarnation
-     * @param nowNanos the time
+     * @param worker incarnation of the worker
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordSent(Prompt prompt, int worker, long nowNanos) {
         int shared = prompt.parts().size() - 1;
         for (int i = 0; i < shared; i++) {
-            PartLocation place = new PartLocation(prompt.parts().get(i).id().hashCode(), worker);
-            Map<Integer, Use> uses = uses(place.part(), nowNanos);
-            Use before = uses.get(place.worker());
-            boolean tell = before == null || nowNanos - before.toldNanos() > TOLD_AGAIN_NANOS;
-            long since = before == null ? nowNanos : before.sinceNanos();
-            uses.put(place.worker(), new Use(since, nowNanos, tell ? nowNanos : before.toldNanos()));
-            if (tell && untold.size() < MOST_UNTOLD) {
-                untold.add(place);
+            PartLocation location = new PartLocation(prompt.parts().get(i).id().hashCode(), worker);
+            Map<Integer, Usage> usages = usages(location.part(), nowNanos);
+            Usage previous = usages.get(location.worker());
+            boolean report = previous == null || nowNanos - previous.reportedNanos() > REPORT_INTERVAL_NANOS;
+            long firstSent = previous == null ? nowNanos : previous.firstSentNanos();
+            usages.put(location.worker(), new Usage(firstSent, nowNanos, report ? nowNanos : previous.reportedNanos()));
+            if (report && unreported.size() < MAX_UNREPORTED) {
+                unreported.add(location);
             }
         }
     }
 
     /**
-     * A peer has said that a part was sent to a worker.
+     * Records a peer's report that a part was sent to a worker.
      *
-     * @param place the part and the worker
-     * @param nowNanos the time
+     * @param location the part and the worker
+     * @param nowNanos current monotonic time in nanoseconds
      */
-    public void recordPeerReport(PartLocation place, long nowNanos) {
-        Map<Integer, Use> uses = uses(place.part(), nowNanos);
-        Use before = uses.get(place.worker());
-        long since = before == null ? nowNanos : before.sinceNanos();
-        uses.put(place.worker(), new Use(since, nowNanos, nowNanos));
+    public void recordPeerReport(PartLocation location, long nowNanos) {
+        Map<Integer, Usage> usages = usages(location.part(), nowNanos);
+        Usage previous = usages.get(location.worker());
+        long firstSent = previous == null ? nowNanos : previous.firstSentNanos();
+        usages.put(location.worker(), new Usage(firstSent, nowNanos, nowNanos));
     }
 
     /**
-     * What peers have not been told yet.
+     * Returns and clears the locations that have not been reported to peers yet.
      *
-     * @return the places, once each
+     * @return the unreported locations, in the order in which they were recorded
      */
     public List<PartLocation> drainUnreported() {
-        List<PartLocation> taken = untold;
-        untold = new ArrayList<>();
-        return taken;
+        List<PartLocation> drained = unreported;
+        unreported = new ArrayList<>();
+        return drained;
     }
 
-    private Map<Integer, Use> uses(int part, long nowNanos) {
-        Map<Integer, Use> uses = usesByPart.computeIfAbsent(part, id -> new HashMap<>());
-        uses.values().removeIf(use -> nowNanos - use.usedNanos() > KEPT_NANOS);
-        return uses;
+    private Map<Integer, Usage> usages(int part, long nowNanos) {
+        Map<Integer, Usage> usages = usagesByPart.computeIfAbsent(part, id -> new HashMap<>());
+        usages.values().removeIf(usage -> nowNanos - usage.lastUsedNanos() > CACHE_RETENTION_NANOS);
+        return usages;
     }
 
     /**
-     * Whether some worker is known to have read a part.
+     * Whether at least one worker probably has a part in its cache.
      *
-     * @param part the part's name
-     * @param nowNanos the time
-     * @return false if it has to be read anew wherever its prompt goes
+     * @param part id of the part
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return false if any worker that gets the part has to read it first
      */
     public boolean isCachedAnywhere(String part, long nowNanos) {
-        Map<Integer, Use> uses = usesByPart.get(part.hashCode());
-        return uses != null && uses.values().stream().anyMatch(use -> nowNanos - use.usedNanos() <= KEPT_NANOS);
+        Map<Integer, Usage> usages = usagesByPart.get(part.hashCode());
+        return usages != null
+                && usages.values().stream()
+                        .anyMatch(usage -> nowNanos - usage.lastUsedNanos() <= CACHE_RETENTION_NANOS);
     }
 
     /**
-     * How much of a prompt a worker has read before: its first parts up to the first that it has not.
+     * Length of the prefix of a prompt that a worker probably has in its cache. The prefix ends before the first part that
+     * is not cached there.
      *
      * @param prompt the prompt
-     * @param worker the worker's incarnation
-     * @param nowNanos the time
-     * @return tokens
+     * @param worker incarnation of the worker
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return cached tokens, 0 if the first part is not cached
      */
     public int cachedTokens(Prompt prompt, int worker, long nowNanos) {
-        return tokens(prompt, worker, use -> nowNanos - use.usedNanos() <= KEPT_NANOS);
+        return prefixTokens(prompt, worker, usage -> nowNanos - usage.lastUsedNanos() <= CACHE_RETENTION_NANOS);
     }
 
     /**
-     * The same, without what was sent there so lately that it may still be waiting to be read. Another worker would fetch
-     * nothing and read it once more.
+     * Length of the cached prefix of a prompt that another engine can fetch from a worker. Unlike {@link #cachedTokens}, it
+     * excludes parts that were sent there so recently that they may still wait to be read: an engine that tried to fetch
+     * them would get nothing and read them itself.
      *
      * @param prompt the prompt
-     * @param worker the worker's incarnation
-     * @param nowNanos the time
-     * @return tokens
+     * @param worker incarnation of the worker
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return fetchable tokens, 0 if the first part cannot be fetched
      */
     public int fetchableTokens(Prompt prompt, int worker, long nowNanos) {
-        return tokens(
+        return prefixTokens(
                 prompt,
                 worker,
-                use -> nowNanos - use.usedNanos() <= KEPT_NANOS && nowNanos - use.sinceNanos() > UNREAD_NANOS);
+                usage -> nowNanos - usage.lastUsedNanos() <= CACHE_RETENTION_NANOS
+                        && nowNanos - usage.firstSentNanos() > PREFILL_DELAY_NANOS);
     }
 
-    private int tokens(Prompt prompt, int worker, Predicate<Use> there) {
+    private int prefixTokens(Prompt prompt, int worker, Predicate<Usage> available) {
         int tokens = 0;
         for (Prompt.Part part : prompt.parts()) {
-            Map<Integer, Use> uses = usesByPart.get(part.id().hashCode());
-            Use use = uses == null ? null : uses.get(worker);
-            if (use == null || !there.test(use)) {
+            Map<Integer, Usage> usages = usagesByPart.get(part.id().hashCode());
+            Usage usage = usages == null ? null : usages.get(worker);
+            if (usage == null || !available.test(usage)) {
                 return tokens;
             }
             tokens += part.tokens();
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineModel.java
@@ -1,100 +1,107 @@
 package org.dotterelcourse.policy.selection;
 
 /**
- * What one upstream's engines take for the streams that can wait, learned from those that this process has sent there.
+ * Learns from the traffic of this process how long the engines of one upstream take for
+ * {@link LatencyClass#DELAY_TOLERANT} streams, and derives from that how many of these streams an engine can run at once.
  *
- * <p>It answers engines and prompts that nobody has described beforehand: how many streams an engine can have under way
- * follows from how long its steps are, how much the prompts are to read and how long the answers get.
+ * <p>It handles engines and prompts that are not described in the configuration: the limit follows from the length of a
+ * step, the prefill time of the prompts and the length of the answers. Means are exponentially weighted (EWMA); the step
+ * time is a running quantile estimate.
  */
 public final class EngineModel {
-    /** Weight of the newest prompt or answer in the means: the last fifty or so decide, some seconds of a usual load. */
-    private static final double NEWEST = 0.02;
+    /**
+     * Lowest weight of the newest observation in a mean. The mean then covers about the last 50 observations, a few seconds
+     * of usual load.
+     */
+    private static final double MIN_WEIGHT = 0.02;
 
     /**
-     * Assumed for the time of a step before any was seen. It is outweighed within a few dozen events, of which a single
-     * stream has as many.
+     * Step time assumed before the first event. A few dozen events outweigh it, and a single stream has that many.
      */
-    private static final double FIRST_STEP_MILLIS = 8;
+    private static final double INITIAL_STEP_MILLIS = 8;
 
     /**
-     * Which part of the steps is faster than the estimate. Steps that carry a chunk of a prompt are several times as long;
-     * the estimate is to be one without, and these are more than a fifth wherever streams get on at all.
+     * Quantile of the observed step times that is estimated. Steps that include a chunk of a prompt take several times as
+     * long as others and must not count. Wherever streams make progress at all, more than a fifth of the steps include
+     * none.
      */
-    private static final double QUANTILE = 0.2;
+    private static final double STEP_QUANTILE = 0.2;
 
-    /** How far one step moves the estimate, as a part of it. */
-    private static final double MOVE = 0.05;
+    /** Relative change of the estimate by one observed step. */
+    private static final double STEP_ADJUSTMENT = 0.05;
 
-    private double stepMillis = FIRST_STEP_MILLIS;
+    private double stepMillis = INITIAL_STEP_MILLIS;
     private double prefillMillis;
     private double answerTokens;
-    private double startMillis;
-    private double startDeviation;
-    private long starts;
-    private long answers;
-    private long prompts;
+    private double firstEventMillis;
+    private double firstEventDeviationMillis;
+    private long firstEvents;
+    private long completions;
+    private long dispatches;
 
     /**
-     * A stream that can wait was sent to an engine.
+     * Records that a delay-tolerant stream was sent to an engine.
      *
-     * @param prefill what is to be read of its prompt there, in milliseconds
-     * @param mostTokens the most tokens that its answer may have
+     * @param promptPrefillMillis estimated time in milliseconds to read the part of its prompt that is not cached there
+     * @param maxOutputTokens maximum length of its answer in tokens; used as the answer length until the first completion
      */
-    public void recordDispatch(double prefill, int mostTokens) {
-        prompts++;
-        prefillMillis += weight(prompts) * (prefill - prefillMillis);
-        if (answers == 0) {
-            answerTokens = mostTokens;
+    public void recordDispatch(double promptPrefillMillis, int maxOutputTokens) {
+        dispatches++;
+        prefillMillis += weight(dispatches) * (promptPrefillMillis - prefillMillis);
+        if (completions == 0) {
+            answerTokens = maxOutputTokens;
         }
     }
 
     /**
-     * The first event of such a stream came.
+     * Records the first event of a delay-tolerant stream.
      *
-     * @param millis the time since it was sent to the engine
+     * @param elapsedMillis time since the stream was sent to the engine, in milliseconds
      */
-    public void recordFirstEvent(double millis) {
-        starts++;
-        startDeviation += weight(starts) * (Math.abs(millis - startMillis) - startDeviation);
-        startMillis += weight(starts) * (millis - startMillis);
+    public void recordFirstEvent(double elapsedMillis) {
+        firstEvents++;
+        firstEventDeviationMillis +=
+                weight(firstEvents) * (Math.abs(elapsedMillis - firstEventMillis) - firstEventDeviationMillis);
+        firstEventMillis += weight(firstEvents) * (elapsedMillis - firstEventMillis);
     }
 
     /**
-     * How long before its target such a stream should be at an engine to be on time: the mean of the time to its first event
-     * and one mean deviation, as retransmission timers use them.
+     * Time by which a delay-tolerant stream should be sent to an engine before its deadline for the first event: the mean
+     * time to the first event plus one mean deviation, as in the estimators of retransmission timers.
      *
-     * @return milliseconds, 0 before the first one
+     * @return milliseconds, 0 before the first observation
      */
     public double leadTimeMillis() {
-        return startMillis + startDeviation;
+        return firstEventMillis + firstEventDeviationMillis;
     }
 
     /**
-     * Such a stream has ended whole.
+     * Records the successful end of a delay-tolerant stream.
      *
-     * @param tokens the tokens of its answer
+     * @param tokens number of tokens of its answer
      */
     public void recordCompletion(int tokens) {
-        answers++;
-        answerTokens += weight(answers) * (tokens - answerTokens);
+        completions++;
+        answerTokens += weight(completions) * (tokens - answerTokens);
     }
 
     /**
-     * An event of any stream came, some time after the one before.
+     * Records the time between two consecutive events of a stream of any latency class.
      *
-     * @param pauseMillis the time between them; 0 if it was the first
-     * @param tokensPerEvent how many tokens, one a step, an engine puts into one event
+     * @param gapMillis time since the previous event in milliseconds; 0 for the first event, which is ignored
+     * @param tokensPerEvent tokens that an engine sends in one event; it makes one token per step
      */
-    public void recordEventGap(double pauseMillis, int tokensPerEvent) {
-        if (pauseMillis <= 0) {
+    public void recordEventGap(double gapMillis, int tokensPerEvent) {
+        if (gapMillis <= 0) {
             return;
         }
-        double step = pauseMillis / Math.max(1, tokensPerEvent);
-        stepMillis *= step < stepMillis ? 1 - MOVE * (1 - QUANTILE) : 1 + MOVE * QUANTILE;
+        double step = gapMillis / Math.max(1, tokensPerEvent);
+        stepMillis *=
+                step < stepMillis ? 1 - STEP_ADJUSTMENT * (1 - STEP_QUANTILE) : 1 + STEP_ADJUSTMENT * STEP_QUANTILE;
     }
 
     /**
-     * The time of a step that reads no prompt.
+     * Estimated time of a step in which the engine reads no prompt.
      *
      * @return milliseconds
      */
@@ -103,38 +110,38 @@
     }
 
     /**
-     * Mean time that an engine reads for a stream that can wait.
+     * Mean time that an engine takes to read the prompt of a delay-tolerant stream.
      *
-     * @return milliseconds, 0 before the first one
+     * @return milliseconds, 0 before the first observation
      */
     public double prefillMillis() {
         return prefillMillis;
     }
 
     /**
-     * How many streams that can wait an engine may have under way, so that a usual one ends within a time.
+     * Number of delay-tolerant streams that an engine may run at once so that an average one ends within a given time.
      *
-     * <p>An engine reads prompts before it goes on with answers, and a step that reads takes many times as long as one that
-     * doesn't. With prompts always waiting, answers get a token in the time of a whole chunk; they end late or never, and
-     * all that was read for them is lost. By the mean value formula of a closed queue with one server (reading) and one
-     * delay (the answer, stretched by the part of the time in which the engine reads), n streams stay for a time T with
-     * {@code T^2 - T (w + n w + s) + n w^2 = 0}, where w is the time to read one and s that of its answer alone; solved
-     * for n.
+     * <p>An engine reads pending prompts before it continues answers, and a step with a chunk of a prompt takes many times
+     * as long as one without. If prompts are always pending, answers advance by one token per chunk: they end late or
+     * never, and the work spent on their prompts is lost. The limit uses the mean value formula of a closed queue with one
+     * server (reading) and one delay (the answer, stretched by the share of time in which the engine reads): n streams stay
+     * for a time T with {@code T^2 - T (w + n w + s) + n w^2 = 0}, where w is the time to read one prompt and s the time of
+     * its answer on an otherwise idle engine. The result is this equation solved for n.
      *
-     * @param withinMillis the time in which a usual stream is to end
-     * @return at least 1
+     * @param withinMillis time in milliseconds within which an average stream is to end
+     * @return number of streams, at least 1
      */
     public int maxStreamsWithin(double withinMillis) {
-        double read = Math.max(1, prefillMillis);
+        double prefill = Math.max(1, prefillMillis);
         double answer = answerTokens * stepMillis;
-        double spare = withinMillis - read - answer;
+        double spare = withinMillis - prefill - answer;
         if (spare <= 0) {
             return 1;
         }
-        return (int) Math.max(1, withinMillis * spare / (read * (withinMillis - read)));
+        return (int) Math.max(1, withinMillis * spare / (prefill * (withinMillis - prefill)));
     }
 
     private static double weight(long count) {
-        return Math.max(NEWEST, 1.0 / count);
+        return Math.max(MIN_WEIGHT, 1.0 / count);
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EnginePartition.java
@@ -5,172 +5,185 @@
 import java.util.Map;
 
 /**
- * How many of an upstream's engines are for the streams of each latencyClass, in proportion to the work that lately came to all
- * processes.
+ * Partitions the engines of one upstream between the latency classes, in proportion to the work that all processes have
+ * recently received for each class (exponentially decaying sums).
  *
- * <p>It answers a mix that changes through the day. With fixed splits, one of them is idle while the other queues; with
- * none, each long prompt delays interactive streams.
+ * <p>It handles a mix of traffic that changes during the day. With fixed partitions, one would be idle while requests queue
+ * for another; without partitions, each long prompt would delay interactive streams.
  */
 public final class EnginePartition {
-    /** Short enough to follow the hours of a day, and longer than a burst, which would move the split to and fro. */
+    /**
+     * Half-life of the recorded work: short enough to follow the hours of a day, and longer than a burst, which would
+     * otherwise shift the partition back and forth.
+     */
     private static final double HALF_LIFE_NANOS = 30e9;
 
     /**
-     * Work of one token of an answer beside that of the prompt, in milliseconds. A step of 5 to 10 ms makes a token for each
-     * of some 20 to 40 streams (data sheets). Too much keeps engines for short answers that hardly use them, too little
-     * makes their pauses long.
+     * Work of one answer token, in addition to the work of the prompt. A step of 5 to 10 ms makes one token for each of
+     * about 20 to 40 streams (data sheets). Higher values reserve engines for short answers that hardly use them; lower
+     * values cause long gaps between the events of these answers.
      */
     private static final double OUTPUT_TOKEN_MILLIS = 0.25;
 
     /**
-     * Engines for a pace beside its work. First events that are due within a second need engines that are idle for half
+     * Weight of the work of each latency class. First events that are due within a second need engines that are idle half
      * of the time.
      */
-    private static final Map<LatencyClass, Double> WEIGHT = Map.of(
+    private static final Map<LatencyClass, Double> WORK_WEIGHT = Map.of(
             LatencyClass.GAP_SENSITIVE, 1.0, LatencyClass.START_SENSITIVE, 1.6, LatencyClass.DELAY_TOLERANT, 1.0);
 
-    /** Assumed before anything came, and soon outweighed: milliseconds by pace. */
-    private static final double[] FIRST_WORK = {220, 280, 500};
+    /** Work assumed before the first request, by the ordinal of the latency class; later requests soon outweigh it. */
+    private static final double[] INITIAL_WORK_MILLIS = {220, 280, 500};
 
-    /** How far the work must ask for another number until it changes: with each change, parts get other homes. */
-    private static final double STEP = 1.2;
+    /**
+     * Difference between the target and the current number of engines of a class above which the partition changes. Each
+     * change gives prompt parts other preferred engines, where they have to be read again.
+     */
+    private static final double CHANGE_THRESHOLD_ENGINES = 1.2;
 
-    /** Work below this share of all gets no engine of its own. */
-    private static final double LEAST_SHARE = 0.02;
+    /** Share of the total work below which a latency class gets no engine of its own. */
+    private static final double MIN_SHARE = 0.02;
 
-    /** How long a silent peer's work still counts. */
-    private static final long KEPT_NANOS = 10_000_000_000L;
+    /** Time after its last report for which the work of a peer is counted. */
+    private static final long PEER_EXPIRY_NANOS = 10_000_000_000L;
 
-    private final Map<String, Told> peers = new HashMap<>();
-    private LatencyClassWork own = new LatencyClassWork(FIRST_WORK.clone());
-    private boolean begun;
-    private long lastNanos;
-    private int[] counts = new int[0];
+    private final Map<String, PeerWork> peers = new HashMap<>();
+    private LatencyClassWork localWork = new LatencyClassWork(INITIAL_WORK_MILLIS.clone());
+    private boolean started;
+    private long lastArrivalNanos;
+    private int[] engineCounts = new int[0];
     private int lastWorkers;
 
-    private record Told(boolean alone, LatencyClassWork work, long atNanos) {}
+    private record PeerWork(boolean individual, LatencyClassWork work, long receivedNanos) {}
 
     /**
-     * What lately came to this process, for its peers.
+     * Work that this process itself has recently received, to be reported to its peers.
      *
-     * @return the work as of the last request
+     * @return the work, decayed to the time of the last request
      */
     public LatencyClassWork localWork() {
-        return own;
+        return localWork;
     }
 
     /**
-     * A peer has said what lately came to it. Processes that split by the same sums mostly agree on the split.
+     * Records the work that a peer has reported. Processes with the same sums mostly agree on the partition.
      *
-     * @param peer its name
-     * @param alone whether it speaks for itself alone
-     * @param work its work
-     * @param nowNanos the time
+     * @param peer name of the peer
+     * @param individual true if the report covers the peer's own work only, false if it is a sum over several processes
+     * @param work the reported work
+     * @param nowNanos current monotonic time in nanoseconds
      */
-    public void recordPeerWork(String peer, boolean alone, LatencyClassWork work, long nowNanos) {
-        peers.put(peer, new Told(alone, work, nowNanos));
+    public void recordPeerWork(String peer, boolean individual, LatencyClassWork work, long nowNanos) {
+        peers.put(peer, new PeerWork(individual, work, nowNanos));
     }
 
     /**
-     * What lately came to this process and those that report to it.
+     * Work that this process and the processes that report to it have recently received.
      *
-     * @return the sum
+     * @return the sum of the local work and the individual reports
      */
     public LatencyClassWork reportersWork() {
-        LatencyClassWork sum = own;
-        for (Told told : peers.values()) {
-            sum = told.alone() ? sum.plus(told.work()) : sum;
+        LatencyClassWork sum = localWork;
+        for (PeerWork peer : peers.values()) {
+            sum = peer.individual() ? sum.plus(peer.work()) : sum;
         }
         return sum;
     }
 
     /**
-     * What lately came to all processes but one.
+     * Work that all processes except one peer have recently received.
      *
-     * @param peer its name
-     * @return the sum
+     * @param peer name of the peer to exclude
+     * @return the sum of the local work and the reports of the other peers
      */
     public LatencyClassWork workExcluding(String peer) {
-        LatencyClassWork sum = own;
-        for (Map.Entry<String, Told> told : peers.entrySet()) {
-            sum = told.getKey().equals(peer) ? sum : sum.plus(told.getValue().work());
+        LatencyClassWork sum = localWork;
+        for (Map.Entry<String, PeerWork> entry : peers.entrySet()) {
+            sum = entry.getKey().equals(peer) ? sum : sum.plus(entry.getValue().work());
         }
         return sum;
     }
 
     /**
-     * A request has come.
+     * Records the arrival of a request at this process.
      *
-     * @param prompt its prompt
-     * @param nowNanos the time
+     * @param prompt prompt of the request
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordArrival(Prompt prompt, long nowNanos) {
-        double fade = begun ? Math.pow(0.5, Math.max(0, nowNanos - lastNanos) / HALF_LIFE_NANOS) : 1;
-        begun = true;
-        lastNanos = nowNanos;
+        double decay = started ? Math.pow(0.5, Math.max(0, nowNanos - lastArrivalNanos) / HALF_LIFE_NANOS) : 1;
+        started = true;
+        lastArrivalNanos = nowNanos;
         double work = prompt.prefillMillis(0) + OUTPUT_TOKEN_MILLIS * prompt.outputTokens();
-        own = own.faded(fade).with(prompt.latencyClass(), WEIGHT.get(prompt.latencyClass()) * work);
+        localWork = localWork
+                .decayed(decay)
+                .withAdded(prompt.latencyClass(), WORK_WEIGHT.get(prompt.latencyClass()) * work);
     }
 
     /**
-     * The ranks of the engines that are for one pace. A pace without engines of its own may use all.
+     * Ranks of the engines that serve one latency class. A class without engines of its own may use all engines. One engine
+     * is shared by all classes; of two engines, the first serves {@link LatencyClass#GAP_SENSITIVE} streams and the second
+     * all others.
      *
-     * @param latencyClass the pace
-     * @param workers how many engines there are
-     * @return first rank and the one after the last
+     * @param latencyClass the latency class
+     * @param workers number of engines of the upstream
+     * @return range of ranks
      */
     public Range range(LatencyClass latencyClass, int workers) {
-        int paces = LatencyClass.values().length;
-        if (workers < paces) {
-            boolean alone = workers == 2;
+        int classes = LatencyClass.values().length;
+        if (workers < classes) {
+            boolean twoEngines = workers == 2;
             boolean first = latencyClass == LatencyClass.GAP_SENSITIVE;
-            return alone ? new Range(first ? 0 : 1, first ? 1 : 2) : new Range(0, workers);
+            return twoEngines ? new Range(first ? 0 : 1, first ? 1 : 2) : new Range(0, workers);
         }
-        split(workers);
+        updateCounts(workers);
         int from = 0;
         for (int i = 0; i < latencyClass.ordinal(); i++) {
-            from += counts[i];
+            from += engineCounts[i];
         }
-        int count = counts[latencyClass.ordinal()];
+        int count = engineCounts[latencyClass.ordinal()];
         return count == 0 ? new Range(0, workers) : new Range(from, from + count);
     }
 
     /**
-     * RankHash of engines.
+     * Range of engine ranks.
      *
-     * @param from the first
-     * @param to the one after the last
+     * @param from first rank
+     * @param to rank after the last one
      */
     public record Range(int from, int to) {
-        boolean holds(int rank) {
+        boolean contains(int rank) {
             return rank >= from && rank < to;
         }
     }
 
-    private void split(int workers) {
-        double[] wanted = wanted(workers);
-        boolean far = workers != lastWorkers;
-        for (int i = 0; !far && i < wanted.length; i++) {
-            far = Math.abs(wanted[i] - counts[i]) > STEP;
+    private void updateCounts(int workers) {
+        double[] targets = targetCounts(workers);
+        boolean changed = workers != lastWorkers;
+        for (int i = 0; !changed && i < targets.length; i++) {
+            changed = Math.abs(targets[i] - engineCounts[i]) > CHANGE_THRESHOLD_ENGINES;
         }
-        if (far) {
-            counts = rounded(wanted, workers);
+        if (changed) {
+            engineCounts = rounded(targets, workers);
             lastWorkers = workers;
         }
     }
 
-    private double[] wanted(int workers) {
-        peers.values().removeIf(told -> lastNanos - told.atNanos() > KEPT_NANOS);
+    private double[] targetCounts(int workers) {
+        peers.values().removeIf(peer -> lastArrivalNanos - peer.receivedNanos() > PEER_EXPIRY_NANOS);
         LatencyClassWork sum = workExcluding("");
-        double total = sum.total();
+        double total = sum.totalMillis();
         return Arrays.stream(sum.millis())
-                .map(each -> each < LEAST_SHARE * total ? 0 : workers * each / total)
+                .map(each -> each < MIN_SHARE * total ? 0 : workers * each / total)
                 .toArray();
     }
 
-    /** Rounds so that each pace with work has one engine at least and the sum is right; the largest gives and takes. */
-    private static int[] rounded(double[] wanted, int workers) {
-        int[] rounded = Arrays.stream(wanted)
+    /**
+     * Rounds to whole engines. Each class with a target above zero gets at least one engine, and the largest class absorbs
+     * the rounding difference.
+     */
+    private static int[] rounded(double[] targets, int workers) {
+        int[] rounded = Arrays.stream(targets)
                 .mapToInt(each -> each == 0 ? 0 : (int) Math.max(1, Math.round(each)))
                 .toArray();
         int largest = 0;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -8,34 +8,38 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses an engine by the expected delay of the request there and of those it would hold up, in milliseconds.
+ * Selects the engine with the lowest estimated cost for a prompt. The cost, in milliseconds, is the expected delay of the
+ * request on that engine plus the delay that it causes to other requests there.
  *
- * <p>It answers long prompts among interactive streams. An engine reads prompts in chunks between the steps that make
- * tokens; each chunk of a long prompt makes a step some 50 ms longer, so that every stream beside it pauses for more
- * than an interactive one may, and a whole one delays the first event of those behind it by up to 1.6 s. So the engines
- * are split, by rank of their addresses, between the paces of streams. A split that is full spills over, at a price.
+ * <p>It handles long prompts among interactive streams. An engine reads prompts in chunks between the steps that make
+ * tokens. Each chunk of a long prompt lengthens a step by about 50 ms, more than the gap target of an interactive stream
+ * allows, and a whole long prompt delays the first event of the requests queued after it by up to 1.6 s. Engines are
+ * therefore partitioned between the latency classes by the ranks of their addresses ({@link EnginePartition}). Requests of
+ * a fully loaded partition spill over to other partitions, at a penalty.
  *
- * <p>It also answers prompts with shared parts: half of the prefill work of the workloads in use. A prompt goes to an
- * engine that has read its parts, as far as processes have told each other, unless others wait there for much longer than
- * the parts take to be read. Each part has a few homes, engines of its split that all processes agree on by rendezvous
- * hashing; it is read there and hardly anywhere else, however busy they are. Where they are busy, another engine fetches
- * from one that has read them, which takes some milliseconds in place of a hundred and more.
+ * <p>It also handles prompts with shared parts, which are half of the prefill work of the workloads in use. A prompt goes
+ * to an engine that has its parts in its cache, as far as the processes have reported to each other, unless the queue there
+ * takes much longer than reading the parts. Each part has a few preferred engines in its partition, which all processes
+ * determine alike by rendezvous hashing; it is rarely read elsewhere, however busy they are. If they are busy, another
+ * engine fetches the parts from one that has them in its cache, which takes a few milliseconds instead of more than a
+ * hundred.
  */
 public final class EngineSelector implements WorkerSelector<Prompt> {
-    /** Prompt tokens that an engine reads in a millisecond, from the data sheet of the engines in use (62.4). */
+    /** Prompt tokens that an engine reads in one millisecond: 62.4 in the data sheet of the engines in use. */
     static final double PREFILL_TOKENS_PER_MILLI = 62;
 
     /**
-     * What a stream that runs beside it costs a request: a step grows by 0.165 ms for each, over some 60 steps (data
+     * Cost of each other request in flight on the engine: a step grows by 0.165 ms per stream, over about 60 steps (data
      * sheet).
      */
     private static final double STREAM_MILLIS = 10;
 
     /**
-     * What it costs to leave the split with a whole prompt of the usual length, by pace: somewhat over half of the usual
-     * latency targets (0.5, 0.8 and 2.5 s), so that a request goes elsewhere only where it would else be late.
+     * Penalty for sending a whole prompt of the usual length outside its partition, by latency class: somewhat more than
+     * half of the usual latency targets (0.5, 0.8 and 2.5 s), so that a request leaves its partition only if it would
+     * otherwise be late.
      */
-    private static final Map<LatencyClass, Double> OTHER_SPLIT_MILLIS = Map.of(
+    private static final Map<LatencyClass, Double> OTHER_PARTITION_MILLIS = Map.of(
             LatencyClass.GAP_SENSITIVE,
             300.0,
             LatencyClass.START_SENSITIVE,
@@ -44,126 +48,130 @@
             1_500.0);
 
     /**
-     * Prefill of a whole prompt of the usual length, by pace. One whose parts have been read there holds the streams up by
-     * less, and costs as much less: when the split moves, parts are still used where they are and not read again.
+     * Prefill time of a whole prompt of the usual length, by latency class. A prompt whose parts are cached on the engine
+     * delays the streams there less, and its penalty for leaving the partition is lower in proportion. Cached parts are
+     * thus still used, and not read again elsewhere, after the partition has changed.
      */
-    private static final Map<LatencyClass, Double> USUAL_MILLIS = Map.of(
+    private static final Map<LatencyClass, Double> USUAL_PREFILL_MILLIS = Map.of(
             LatencyClass.GAP_SENSITIVE, 24.0, LatencyClass.START_SENSITIVE, 170.0, LatencyClass.DELAY_TOLERANT, 350.0);
 
-    /** What a request without a free slot waits at least: the shortest streams take about a second. */
+    /** Minimum wait of a request without a free slot: the shortest streams take about a second. */
     private static final double NO_SLOT_MILLIS = 1_000;
 
     /**
-     * Weight of reading shared parts again at one of their homes, beside the time that it takes, by pace. A request that
-     * goes elsewhere reads its parts there and delays those behind it, who then go elsewhere too. The usual parts (0.35,
-     * 6.3 and 13.3 thousand tokens) thereby outweigh a wait of 0.03, 0.3 and 1.5 s, within the usual latency targets (0.5,
-     * 0.8 and 2 s).
+     * Weight of the time to read shared parts again on one of their preferred engines, by latency class. A request that
+     * goes elsewhere reads its parts there and delays the requests queued after it, which then go elsewhere too. With these
+     * weights, the usual parts (0.35, 6.3 and 13.3 thousand tokens) outweigh a wait of 0.03, 0.3 and 1.5 s, within the
+     * usual latency targets (0.5, 0.8 and 2 s).
      */
-    private static final Map<LatencyClass, Double> READ_AGAIN = Map.of(
+    private static final Map<LatencyClass, Double> REREAD_WEIGHT = Map.of(
             LatencyClass.GAP_SENSITIVE, 4.0, LatencyClass.START_SENSITIVE, 2.0, LatencyClass.DELAY_TOLERANT, 6.0);
 
     /**
-     * How much more it weighs to read parts at an engine that is not one of their homes. It bounds the engines that read
-     * the same parts when a burst meets engines that have read nothing yet.
+     * Factor on {@link #REREAD_WEIGHT} for engines that are not preferred. It limits the number of engines that read the
+     * same parts when a burst arrives before any engine has read them.
      */
-    private static final double NOT_HOME = 4;
+    private static final double NON_PREFERRED_FACTOR = 4;
 
-    /** Engines that parts are first read at, the least busy of them: of three, one is mostly free. */
-    private static final int HOMES = 3;
+    /** Preferred engines of a part; the least busy of them reads it first. One of three is free most of the time. */
+    private static final int PREFERRED_ENGINES = 3;
 
     /**
-     * What the second home costs more than the first, and the third more than the second: above the noise, so that processes
-     * that get the same parts in the same moment choose the same engine, and below the time of one prompt.
+     * Cost difference between consecutive preferred engines of parts that no engine has read. It is above the random part
+     * of the cost, so that processes that get the same parts at the same moment select the same engine, and below the time
+     * of one prompt.
      */
-    private static final double NEXT_HOME_MILLIS = 60;
+    private static final double PREFERENCE_STEP_MILLIS = 60;
 
     /**
-     * Weight of fetching parts from another engine beside that of reading them again. A copy takes memory and part of a
-     * link, so that a prompt goes on where its parts are unless it would wait there for long.
+     * Weight of fetching parts relative to reading them again. A copy takes memory and link bandwidth, so a prompt still
+     * goes to the engine that has its parts unless it would wait there for long.
      */
-    private static final double FETCH = 0.5;
+    private static final double FETCH_WEIGHT = 0.5;
 
-    /** Spread of the random part: peers with the same figures must not all choose the same engine. */
+    /** Range of the random part of the cost: peers that see the same load must not all select the same engine. */
     private static final double NOISE_MILLIS = 12;
 
-    /** What the way to another data centre and the bytes on it cost. */
-    private static final double FAR_MILLIS = 8;
+    /** Cost of the latency and the traffic to another data centre. */
+    private static final double REMOTE_MILLIS = 8;
 
     private final String dataCentre;
     private final CachedPrefixes prefixes;
-    private final EnginePartition split;
-    private final TransferCost transfer;
+    private final EnginePartition partition;
+    private final TransferCost transferCost;
     private final RandomGenerator random;
 
     /**
-     * Makes a selector.
+     * Creates a selector.
      *
-     * @param dataCentre where this process stands
-     * @param prefixes what engines have read
-     * @param split the engines of each pace
-     * @param transfer what it takes to fetch parts from another engine
-     * @param random breaks ties
+     * @param dataCentre data centre of this process
+     * @param prefixes prompt parts that the engines probably have in their caches
+     * @param partition partition of the engines between the latency classes
+     * @param transferCost cost of fetching cached parts from another engine
+     * @param random source of randomness for breaking ties
      */
     public EngineSelector(
             String dataCentre,
             CachedPrefixes prefixes,
-            EnginePartition split,
-            TransferCost transfer,
+            EnginePartition partition,
+            TransferCost transferCost,
             RandomGenerator random) {
         this.dataCentre = dataCentre;
         this.prefixes = prefixes;
-        this.split = split;
-        this.transfer = transfer;
+        this.partition = partition;
+        this.transferCost = transferCost;
         this.random = random;
     }
 
     @Override
     public Optional<String> select(Prompt prompt, List<WorkerLoad> workers, long nowNanos) {
-        return choose(prompt, workers, Integer.MAX_VALUE, nowNanos) instanceof SelectionResult.Selected engine
-                ? Optional.of(engine.id())
+        return choose(prompt, workers, Integer.MAX_VALUE, nowNanos) instanceof SelectionResult.Selected selected
+                ? Optional.of(selected.id())
                 : Optional.empty();
     }
 
     /**
-     * Chooses among the engines that have room.
+     * Selects an engine among those that have capacity for one more request. Suspected engines are selected only if no
+     * others may receive requests.
      *
      * @param prompt the prompt
-     * @param workers the engines that it may be sent to
-     * @param mostStreams how many requests an engine may have in flight to have room for one more; it has none beyond its
-     *     slots either, unless this is {@link Integer#MAX_VALUE}
-     * @param nowNanos the time on the monotonic clock
-     * @return the engine, or why there is none
+     * @param workers all engines that the prompt may be sent to
+     * @param maxStreams limit of the requests in flight on one engine, in addition to its slots;
+     *     {@link Integer#MAX_VALUE} disables both limits
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the selected engine, or why none was selected
      */
-    public SelectionResult choose(Prompt prompt, List<WorkerLoad> workers, int mostStreams, long nowNanos) {
-        boolean anySound = workers.stream().anyMatch(each -> each.canReceive() && !each.suspected());
+    public SelectionResult choose(Prompt prompt, List<WorkerLoad> workers, int maxStreams, long nowNanos) {
+        boolean anyHealthy = workers.stream().anyMatch(each -> each.canReceive() && !each.suspected());
         List<WorkerLoad> ranked = new ArrayList<>(workers);
-        ranked.sort(Comparator.comparingInt((WorkerLoad each) -> RankHash.mix(each.address()))
+        ranked.sort(Comparator.comparingInt((WorkerLoad each) -> RankHash.hash(each.address()))
                 .thenComparing(WorkerLoad::id));
-        EnginePartition.Range range = split.range(prompt.latencyClass(), ranked.size());
-        // Processes suspect different engines at different times; ranks and splits must not follow that, or their homes
-        // would differ for every part.
-        List<String> homes = homes(prompt, ranked.subList(range.from(), range.to()), anySound);
-        boolean read = prompt.lastSharedPart()
+        EnginePartition.Range range = partition.range(prompt.latencyClass(), ranked.size());
+        // Ranks and partition must not depend on suspicions: processes suspect different engines at different times,
+        // and
+        // the preferred engines of every part would differ between them.
+        List<String> preferred = preferredEngines(prompt, ranked.subList(range.from(), range.to()), anyHealthy);
+        boolean cachedAnywhere = prompt.lastSharedPart()
                 .filter(part -> prefixes.isCachedAnywhere(part.id(), nowNanos))
                 .isPresent();
-        Optional<Source> source = source(prompt, ranked, nowNanos);
+        Optional<Source> source = fetchSource(prompt, ranked, nowNanos);
         SelectionResult.Selected best = null;
-        double least = Double.MAX_VALUE;
+        double minCost = Double.MAX_VALUE;
         for (int i = 0; i < ranked.size(); i++) {
             WorkerLoad worker = ranked.get(i);
-            if (anySound && worker.suspected() || !worker.canReceive() || !hasRoom(worker, mostStreams)) {
+            if (anyHealthy && worker.suspected() || !worker.canReceive() || !hasCapacity(worker, maxStreams)) {
                 continue;
             }
-            int own = prefixes.cachedTokens(prompt, worker.incarnation(), nowNanos);
-            Optional<Source> used = source.filter(each -> pays(prompt, own, each));
-            int cached = used.map(Source::tokens).orElse(own);
-            double cost = cost(prompt, worker, cached)
-                    + fetching(prompt, cached - own)
-                    + reading(prompt, cached, read, homes.indexOf(worker.id()))
-                    + (range.holds(i) ? 0 : outside(prompt, cached));
-            if (cost < least) {
-                least = cost;
-                best = new SelectionResult.Selected(worker.id(), cached, used.map(Source::worker));
+            int local = prefixes.cachedTokens(prompt, worker.incarnation(), nowNanos);
+            Optional<Source> usedSource = source.filter(each -> isFetchFaster(prompt, local, each));
+            int cached = usedSource.map(Source::tokens).orElse(local);
+            double cost = loadCost(prompt, worker, cached)
+                    + fetchCost(prompt, cached - local)
+                    + rereadCost(prompt, cached, cachedAnywhere, preferred.indexOf(worker.id()))
+                    + (range.contains(i) ? 0 : partitionPenalty(prompt, cached));
+            if (cost < minCost) {
+                minCost = cost;
+                best = new SelectionResult.Selected(worker.id(), cached, usedSource.map(Source::worker));
             }
         }
         if (best != null) {
@@ -172,82 +180,80 @@
         return workers.isEmpty() ? new SelectionResult.NoEngine() : new SelectionResult.NoCapacity();
     }
 
-    /** An engine that has read most of a prompt's parts. */
+    /** Engine with the longest cached prefix of a prompt, from which others can fetch it. */
     private record Source(String worker, int tokens) {}
 
-    private Optional<Source> source(Prompt prompt, List<WorkerLoad> workers, long nowNanos) {
-        Source most = new Source("", 0);
+    private Optional<Source> fetchSource(Prompt prompt, List<WorkerLoad> workers, long nowNanos) {
+        Source longest = new Source("", 0);
         for (WorkerLoad worker : workers) {
             int tokens = worker.suspected() ? 0 : prefixes.fetchableTokens(prompt, worker.incarnation(), nowNanos);
-            most = tokens > most.tokens() ? new Source(worker.id(), tokens) : most;
+            longest = tokens > longest.tokens() ? new Source(worker.id(), tokens) : longest;
         }
-        return most.tokens() == 0 || transfer.millisPerToken() == Double.POSITIVE_INFINITY
+        return longest.tokens() == 0 || transferCost.millisPerToken() == Double.POSITIVE_INFINITY
                 ? Optional.empty()
-                : Optional.of(most);
+                : Optional.of(longest);
     }
 
-    /** Fetching pays where it is shorter than reading. */
-    private boolean pays(Prompt prompt, int own, Source source) {
-        double saved = prompt.prefillMillis(own) - prompt.prefillMillis(source.tokens());
-        return source.tokens() > own && transfer.millis(source.tokens() - own) < saved;
+    private boolean isFetchFaster(Prompt prompt, int local, Source source) {
+        double savedMillis = prompt.prefillMillis(local) - prompt.prefillMillis(source.tokens());
+        return source.tokens() > local && transferCost.millis(source.tokens() - local) < savedMillis;
     }
 
-    private static boolean hasRoom(WorkerLoad worker, int mostStreams) {
-        return mostStreams == Integer.MAX_VALUE
-                || worker.inFlight() < Math.min(mostStreams, Math.max(1, worker.slots()));
+    private static boolean hasCapacity(WorkerLoad worker, int maxStreams) {
+        return maxStreams == Integer.MAX_VALUE || worker.inFlight() < Math.min(maxStreams, Math.max(1, worker.slots()));
     }
 
-    private double cost(Prompt prompt, WorkerLoad worker, int cached) {
-        double own = prompt.prefillMillis(cached);
-        double cost = worker.prefillMillis() + own + STREAM_MILLIS * worker.inFlight();
+    private double loadCost(Prompt prompt, WorkerLoad worker, int cached) {
+        double prefill = prompt.prefillMillis(cached);
+        double cost = worker.prefillMillis() + prefill + STREAM_MILLIS * worker.inFlight();
         if (worker.inFlight() >= worker.slots()) {
             cost += NO_SLOT_MILLIS * (1 + worker.inFlight() - worker.slots()) / Math.max(1, worker.slots())
                     + NO_SLOT_MILLIS;
         }
         if (prompt.latencyClass() != LatencyClass.GAP_SENSITIVE) {
-            cost += own * worker.interactiveStreams();
+            cost += prefill * worker.interactiveStreams();
         }
-        boolean near = worker.dataCentre().equals(dataCentre);
-        return cost + (near ? 0 : FAR_MILLIS) + random.nextDouble() * NOISE_MILLIS;
+        boolean local = worker.dataCentre().equals(dataCentre);
+        return cost + (local ? 0 : REMOTE_MILLIS) + random.nextDouble() * NOISE_MILLIS;
     }
 
     /**
-     * What it costs that parts are read. Those that nobody has read cost nothing beside their time at a home, since somebody
-     * has to read them.
+     * Cost of reading shared parts, in addition to the prefill time. Parts that no engine has cached cost nothing more on a
+     * preferred engine than the step between preferred engines, since one engine has to read them.
      */
-    private static double reading(Prompt prompt, int cached, boolean readSomewhere, int home) {
+    private static double rereadCost(Prompt prompt, int cached, boolean cachedAnywhere, int preference) {
         double millis = Math.max(0, prompt.sharedTokens() - cached) / PREFILL_TOKENS_PER_MILLI;
-        double weight = READ_AGAIN.get(prompt.latencyClass());
-        if (home < 0) {
-            return NOT_HOME * weight * millis;
+        double weight = REREAD_WEIGHT.get(prompt.latencyClass());
+        if (preference < 0) {
+            return NON_PREFERRED_FACTOR * weight * millis;
         }
-        return readSomewhere ? weight * millis : NEXT_HOME_MILLIS * home;
+        return cachedAnywhere ? weight * millis : PREFERENCE_STEP_MILLIS * preference;
     }
 
-    private double fetching(Prompt prompt, int tokens) {
+    private double fetchCost(Prompt prompt, int tokens) {
         return tokens <= 0
                 ? 0
-                : transfer.millis(tokens)
-                        + FETCH * READ_AGAIN.get(prompt.latencyClass()) * tokens / PREFILL_TOKENS_PER_MILLI;
+                : transferCost.millis(tokens)
+                        + FETCH_WEIGHT * REREAD_WEIGHT.get(prompt.latencyClass()) * tokens / PREFILL_TOKENS_PER_MILLI;
     }
 
-    private static double outside(Prompt prompt, int cached) {
-        double part = prompt.prefillMillis(cached) / USUAL_MILLIS.get(prompt.latencyClass());
-        return OTHER_SPLIT_MILLIS.get(prompt.latencyClass()) * Math.min(1, part);
+    private static double partitionPenalty(Prompt prompt, int cached) {
+        double fraction = prompt.prefillMillis(cached) / USUAL_PREFILL_MILLIS.get(prompt.latencyClass());
+        return OTHER_PARTITION_MILLIS.get(prompt.latencyClass()) * Math.min(1, fraction);
     }
 
-    /** The engines where a prompt's parts are read, by rendezvous hashing of the last one over the prompt's split. */
-    private static List<String> homes(Prompt prompt, List<WorkerLoad> inSplit, boolean anySound) {
+    /** Preferred engines of a prompt: rendezvous hashing of its last shared part over the engines of its partition. */
+    private static List<String> preferredEngines(Prompt prompt, List<WorkerLoad> engines, boolean anyHealthy) {
         Optional<Prompt.Part> part = prompt.lastSharedPart();
         if (part.isEmpty()) {
             return List.of();
         }
         int hash = part.get().id().hashCode();
-        return inSplit.stream()
-                .filter(each -> !anySound || !each.suspected())
-                .sorted(Comparator.comparingInt((WorkerLoad each) -> RankHash.mix(hash, each.address()))
+        return engines.stream()
+                .filter(each -> !anyHealthy || !each.suspected())
+                .sorted(Comparator.comparingInt((WorkerLoad each) -> RankHash.hash(hash, each.address()))
                         .reversed())
-                .limit(HOMES)
+                .limit(PREFERRED_ENGINES)
                 .map(WorkerLoad::id)
                 .toList();
     }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClass.java
@@ -1,41 +1,41 @@
 package org.dotterelcourse.policy.selection;
 
 /**
- * What a stream must not be held up by, by its latency targets.
+ * Classifies streams by the delays that their latency targets tolerate.
  *
- * <p>An engine reads prompts in chunks between the steps that make tokens. A chunk of a long prompt takes some 50 ms and
- * more; a whole one up to 1.6 s.
+ * <p>An engine reads prompts in chunks between the steps that make tokens. One chunk of a long prompt delays the other
+ * streams by 50 ms or more, a whole long prompt by up to 1.6 s.
  */
 public enum LatencyClass {
-    /** Its pauses must be shorter than steps with a chunk of a long prompt are. */
+    /** The target for gaps between events is shorter than steps with a chunk of a long prompt. */
     GAP_SENSITIVE,
-    /** Its first event must come sooner than a long prompt is read. */
+    /** The target for the first event is shorter than the time to read a long prompt. */
     START_SENSITIVE,
-    /** It can wait for a long prompt, and often is one. */
+    /** Tolerates the delay of a long prompt, and often has one itself. */
     DELAY_TOLERANT;
 
     /**
-     * The longest usual step with a chunk of a long prompt: 33 ms for 2,048 tokens at 62.4 tokens/ms, 30 ms for attention to
-     * a context of 30,000 tokens, and 10 ms of its own (data sheet). Were it taken for shorter, streams whose pauses end
-     * below it would share engines with long prompts and be late whenever one of their own steps is the longest.
+     * Longest usual step with a chunk of a long prompt: 33 ms for 2,048 tokens at 62.4 tokens/ms, 30 ms for attention to a
+     * context of 30,000 tokens, and 10 ms for the step itself (data sheet). With a lower value, streams whose gap target is
+     * shorter than such a step would share engines with long prompts, and each of these steps would make them late.
      */
     private static final double LONG_STEP_MILLIS = 73;
 
-    /** The longest prompts, of some 50,000 tokens, take 0.85 s to read and 0.75 s for attention (data sheet). */
+    /** The longest prompts, of about 50,000 tokens, take 0.85 s to read and 0.75 s for attention (data sheet). */
     private static final long LONG_PROMPT_MILLIS = 1_600;
 
     /**
-     * The pace of a route's streams.
+     * Classifies the streams of a route.
      *
-     * @param gapTargetMillis the longest pause between events for which an answer is on time, 0 if there is none
-     * @param firstEventMillis the latency target of the first event
-     * @param tokensPerEvent how many tokens, one a step, an engine puts into one event
-     * @return the pace
+     * @param gapTargetMillis longest gap between events in milliseconds for which an answer is on time; 0 for no target
+     * @param firstEventTargetMillis latency target of the first event in milliseconds
+     * @param tokensPerEvent tokens that an engine sends in one event; it makes one token per step
+     * @return the latency class
      */
-    public static LatencyClass of(long gapTargetMillis, long firstEventMillis, int tokensPerEvent) {
+    public static LatencyClass of(long gapTargetMillis, long firstEventTargetMillis, int tokensPerEvent) {
         if (gapTargetMillis > 0 && gapTargetMillis <= LONG_STEP_MILLIS * tokensPerEvent) {
             return GAP_SENSITIVE;
         }
-        return firstEventMillis < LONG_PROMPT_MILLIS ? START_SENSITIVE : DELAY_TOLERANT;
+        return firstEventTargetMillis < LONG_PROMPT_MILLIS ? START_SENSITIVE : DELAY_TOLERANT;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClassWork.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LatencyClassWork.java
@@ -3,12 +3,16 @@
 import java.util.Arrays;
 
 /**
- * Work that lately came of each latencyClass, in milliseconds, as an average that fades by half in each half-life.
+ * Recently arrived work of each latency class, as exponentially decaying sums.
  *
- * @param millis by the ordinal of the pace
+ * @param millis estimated work in milliseconds of engine time, indexed by the ordinal of the latency class
  */
 public record LatencyClassWork(double[] millis) {
-    /** No work at all. */
+    /**
+     * Returns the work of a process that has received nothing.
+     *
+     * @return zero work for each latency class
+     */
     public static LatencyClassWork none() {
         return new LatencyClassWork(new double[LatencyClass.values().length]);
     }
@@ -19,18 +23,18 @@
         return new LatencyClassWork(sum);
     }
 
-    LatencyClassWork faded(double factor) {
+    LatencyClassWork decayed(double factor) {
         return new LatencyClassWork(
                 Arrays.stream(millis).map(each -> each * factor).toArray());
     }
 
-    LatencyClassWork with(LatencyClass latencyClass, double more) {
+    LatencyClassWork withAdded(LatencyClass latencyClass, double addedMillis) {
         double[] changed = millis.clone();
-        changed[latencyClass.ordinal()] += more;
+        changed[latencyClass.ordinal()] += addedMillis;
         return new LatencyClassWork(changed);
     }
 
-    double total() {
+    double totalMillis() {
         return Arrays.stream(millis).sum();
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LeastLoadedSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/LeastLoadedSelector.java
@@ -5,60 +5,60 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses among workers of a plain service by the fewest requests in flight per slot, those in the same data centre
- * first while they have a free slot.
+ * Selects the worker with the fewest requests in flight per slot (least loaded), for services other than engines. Workers
+ * in the same data centre are preferred while they have a free slot.
  *
- * <p>It answers bursts of short calls: a worker runs a handful at once and queues the rest, so that one call too many
- * there waits for a whole other call. Without it, some workers queue while others have free slots. Ties are broken at
- * random, because peers that choose by the same figures would otherwise all choose the same worker.
+ * <p>It handles bursts of short calls: a worker runs a few calls at once and queues the rest, so that one call above its
+ * slots waits until another call has ended. Without this selector, calls queue at some workers while others have free
+ * slots. Ties are broken at random, because peers that see the same load would otherwise all select the same worker.
  */
 public final class LeastLoadedSelector implements WorkerSelector<String> {
     /**
-     * Requests per slot above which a worker is left alone. Workers queue a few times their slots and refuse the rest;
-     * what waits behind three times the slots takes longer than the latency targets of plain services (5 to 6 times
+     * Requests per slot from which on a worker is not selected. Workers queue a few times their slots and reject the rest;
+     * a call that waits for three times the slots takes longer than the latency targets of plain services (5 to 6 times
      * the work of one call) allow.
      */
-    static final double FULL = 4;
+    static final double MAX_REQUESTS_PER_SLOT = 4;
 
-    /** A call to another data centre takes about a millisecond longer, a small part of a call's work of 20 ms. */
-    private static final double FAR = 0.15;
+    /** A call to another data centre takes about 1 ms longer, a small part of the 20 ms of work of a call. */
+    private static final double REMOTE_PENALTY = 0.15;
 
     private final RandomGenerator random;
 
     /**
-     * Makes a selector.
+     * Creates a selector.
      *
-     * @param random breaks ties
+     * @param random source of randomness for breaking ties
      */
     public LeastLoadedSelector(RandomGenerator random) {
         this.random = random;
     }
 
     /**
-     * Chooses.
+     * Selects the least loaded candidate. Suspected workers are selected only if no others can receive a request.
      *
-     * @param dataCentre the data centre of the process that sends the request
-     * @param workers the workers that it may be sent to
+     * @param dataCentre data centre of the process that sends the request
+     * @param workers candidates for the request
      * @param nowNanos not used
-     * @return the worker's id; empty if all of them are full or closed
+     * @return id of the selected worker; empty if each candidate is at its limit or denied to this process
      */
     @Override
     public Optional<String> select(String dataCentre, List<WorkerLoad> workers, long nowNanos) {
-        boolean anySound = workers.stream().anyMatch(each -> each.canReceive() && !each.suspected());
+        boolean anyHealthy = workers.stream().anyMatch(each -> each.canReceive() && !each.suspected());
         String best = null;
-        double least = Double.MAX_VALUE;
+        double minCost = Double.MAX_VALUE;
         for (WorkerLoad worker : workers) {
-            if (!worker.canReceive() || anySound && worker.suspected()) {
+            if (!worker.canReceive() || anyHealthy && worker.suspected()) {
                 continue;
             }
             double load = worker.inFlight() / (double) Math.max(1, worker.slots());
-            if (load >= FULL) {
+            if (load >= MAX_REQUESTS_PER_SLOT) {
                 continue;
             }
-            boolean near = worker.dataCentre().equals(dataCentre);
-            double cost = Math.max(load, 0) + (near ? 0 : FAR) + random.nextDouble() * FAR / 2;
-            if (cost < least) {
-                least = cost;
+            boolean local = worker.dataCentre().equals(dataCentre);
+            double cost = Math.max(load, 0) + (local ? 0 : REMOTE_PENALTY) + random.nextDouble() * REMOTE_PENALTY / 2;
+            if (cost < minCost) {
+                minCost = cost;
                 best = worker.id();
             }
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Prompt.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/Prompt.java
@@ -4,52 +4,54 @@
 import java.util.Optional;
 
 /**
- * The prompt of a request to an engine.
+ * Prompt of a request to an engine.
  *
- * @param parts the parts that it is made of, in their order; the last one is the request's own
- * @param promptTokens tokens of all parts together
- * @param outputTokens the most tokens that the answer may have
- * @param latencyClass what it must not be held up by
+ * @param parts parts of the prompt in their order; the last one belongs to this request alone, the others may be shared
+ * @param promptTokens total length of all parts in tokens
+ * @param outputTokens maximum length of the answer in tokens
+ * @param latencyClass delays that the stream tolerates
  */
 public record Prompt(List<Part> parts, int promptTokens, int outputTokens, LatencyClass latencyClass) {
     /**
-     * A part of a prompt that other prompts may share.
+     * A part of a prompt.
      *
-     * @param id the same for the same text
-     * @param tokens its length
+     * @param id identifies the text: equal texts have equal ids
+     * @param tokens length in tokens
      */
     public record Part(String id, int tokens) {}
 
-    /** Attention to each million pairs of a token that is read and one before it (data sheet). */
-    private static final double ATTENTION_MILLIS = 0.525;
+    /**
+     * Attention time for one million pairs, each of a token that is read and a token before it in the prompt (data sheet).
+     */
+    private static final double ATTENTION_MILLIS_PER_MILLION_PAIRS = 0.525;
 
     private static final double MILLION = 1e6;
 
     /**
-     * The work that the prompt is for an engine that has read some of it before.
+     * Estimates the prefill time of the prompt on an engine that has a prefix of it in its cache.
      *
-     * @param cachedTokens tokens that need not be read again
-     * @return estimated milliseconds of prefill
+     * @param cachedTokens length of the cached prefix in tokens
+     * @return prefill time in milliseconds
      */
     public double prefillMillis(int cachedTokens) {
         double tokens = Math.max(1, promptTokens - cachedTokens);
         double pairs = tokens * (cachedTokens + tokens / 2);
-        return tokens / EngineSelector.PREFILL_TOKENS_PER_MILLI + ATTENTION_MILLIS * pairs / MILLION;
+        return tokens / EngineSelector.PREFILL_TOKENS_PER_MILLI + ATTENTION_MILLIS_PER_MILLION_PAIRS * pairs / MILLION;
     }
 
     /**
-     * The last part that other prompts may share.
+     * The last of the parts that other prompts may share.
      *
-     * @return empty if the prompt has only its own
+     * @return the part before the last one; empty if the prompt has no shared part
      */
     public Optional<Part> lastSharedPart() {
         return parts.size() < 2 ? Optional.empty() : Optional.of(parts.get(parts.size() - 2));
     }
 
     /**
-     * Tokens of the parts that other prompts may share.
+     * Total length of the parts that other prompts may share.
      *
-     * @return their sum
+     * @return tokens, 0 if the prompt has no shared part
      */
     public int sharedTokens() {
         return parts.subList(0, Math.max(0, parts.size() - 1)).stream()
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/RankHash.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/RankHash.java
@@ -1,38 +1,38 @@
 package org.dotterelcourse.policy.selection;
 
-/** The order in which every process ranks names, the same in all of them. */
+/** Hashes names to ranks that are the same in all processes, for example for rendezvous hashing. */
 final class RankHash {
     private static final int SEED = 0x9747b28c;
-    private static final int FACTOR = 0x5bd1e995;
-    private static final int SHIFT_UP = 13;
-    private static final int SHIFT_DOWN = 15;
+    private static final int MULTIPLIER = 0x5bd1e995;
+    private static final int OUTER_SHIFT = 13;
+    private static final int INNER_SHIFT = 15;
 
     private RankHash() {}
 
     /**
-     * Mixes a name's hash, by the finishing steps of MurmurHash2: {@link String#hashCode()} alone keeps names that
-     * differ in their last letter side by side.
+     * Hashes a name with the finalization steps of MurmurHash2. {@link String#hashCode()} alone would give adjacent ranks
+     * to names that differ only in their last character.
      *
-     * @param name the name
-     * @return its rank
+     * @param name name to rank
+     * @return rank of the name
      */
-    static int mix(String name) {
-        return mix(0, name);
+    static int hash(String name) {
+        return hash(0, name);
     }
 
     /**
-     * Mixes a name's hash with a key, for an order of its own by each key.
+     * Hashes a name together with a key, so that each key yields its own order of the names.
      *
-     * @param key the key
-     * @param name the name
-     * @return its rank
+     * @param key hash of the key, such as that of a prompt part
+     * @param name name to rank
+     * @return rank of the name for this key
      */
-    static int mix(int key, String name) {
-        int h = key * FACTOR ^ name.hashCode() ^ SEED;
-        h ^= h >>> SHIFT_UP;
-        h *= FACTOR;
-        h ^= h >>> SHIFT_DOWN;
-        h *= FACTOR;
-        return h ^ h >>> SHIFT_UP;
+    static int hash(int key, String name) {
+        int h = key * MULTIPLIER ^ name.hashCode() ^ SEED;
+        h ^= h >>> OUTER_SHIFT;
+        h *= MULTIPLIER;
+        h ^= h >>> INNER_SHIFT;
+        h *= MULTIPLIER;
+        return h ^ h >>> OUTER_SHIFT;
     }
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SelectionResult.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SelectionResult.java
@@ -2,20 +2,23 @@
 
 import java.util.Optional;
 
-/** Where a prompt should go. */
+/** Result of selecting an engine for a prompt. */
 public sealed interface SelectionResult {
     /**
-     * To an engine.
+     * An engine was selected.
      *
-     * @param id its name
-     * @param cachedTokens how much of the prompt it need not read
-     * @param source the engine from which it should fetch parts that it has not read itself; empty if there is none
+     * @param id id of the selected engine
+     * @param cachedTokens prompt tokens that the engine need not read, because it has them in its cache or fetches them
+     * @param fetchSource id of the engine to fetch cached parts from; empty if the selected engine fetches nothing
      */
     record Selected(String id, int cachedTokens, Optional<String> fetchSource) implements SelectionResult {}
 
-    /** Nowhere yet: each engine that it may go to has as many streams under way as it can serve in time. */
+    /**
+     * No engine was selected: each eligible engine is at its limit of requests in flight, or this process may not send to it
+     * now.
+     */
     record NoCapacity() implements SelectionResult {}
 
-    /** Nowhere: there is no engine. */
+    /** No engine was selected: there are no engines. */
     record NoEngine() implements SelectionResult {}
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SendPermission.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/SendPermission.java
@@ -1,11 +1,11 @@
 package org.dotterelcourse.policy.selection;
 
-/** Whether a worker takes requests of this process. */
+/** Whether this process may send requests to a worker, considering rate limits that the whole fleet shares. */
 public enum SendPermission {
-    /** It takes whatever it has room for. */
+    /** No rate limit applies. */
     UNLIMITED,
-    /** It takes only so many from the whole fleet, and may get this request. */
+    /** The worker is subject to a fleet-wide rate limit, and this process may send it the next request. */
     RATE_LIMITED,
-    /** It takes only so many, and may get nothing more from this process for now. */
+    /** The worker is subject to a fleet-wide rate limit, and this process may send it nothing for now. */
     DENIED
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/TransferCost.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/TransferCost.java
@@ -1,33 +1,38 @@
 package org.dotterelcourse.policy.selection;
 
 /**
- * What it takes an engine to fetch parts of a prompt from another engine that has read them.
+ * Estimates the time that an engine takes to fetch cached parts of a prompt from another engine.
  *
- * @param millisPerToken time on the link for a token; infinite if engines can't fetch
+ * @param millisPerToken transfer time per token in milliseconds; infinite if the engines cannot fetch
  */
 public record TransferCost(double millisPerToken) {
     private static final double BITS_PER_BYTE = 8;
-    private static final double BITS_PER_MEGABIT_MILLI = 1_000;
+    private static final double BITS_PER_MILLI_AT_ONE_MEGABIT_PER_SECOND = 1_000;
 
-    /** Time until a transfer begins; 1.7 and 2.5 ms in the engines in use (data sheets). */
+    /** Time until a transfer begins: the data sheets of the engines in use give 1.7 and 2.5 ms. */
     private static final double SETUP_MILLIS = 3;
 
-    /** Of engines that can't fetch. */
+    /**
+     * Returns the cost for engines that cannot fetch from each other.
+     *
+     * @return an infinite cost per token
+     */
     public static TransferCost unsupported() {
         return new TransferCost(Double.POSITIVE_INFINITY);
     }
 
     /**
-     * Of engines with a link.
+     * Returns the cost for engines that fetch over a link.
      *
-     * @param bytesPerToken what an engine keeps of a token
-     * @param megabitsPerSecond the link of an engine
-     * @return none if a figure is missing, that is, zero
+     * @param bytesPerToken size of the cached state of one token in bytes; 0 if unknown
+     * @param megabitsPerSecond bandwidth of an engine's link in Mbit/s; 0 if unknown
+     * @return the cost of that link; {@link #unsupported()} if a value is unknown
      */
     public static TransferCost ofLink(double bytesPerToken, double megabitsPerSecond) {
-        boolean known = bytesPerToken > 0 && megabitsPerSecond > 0;
-        return known
-                ? new TransferCost(bytesPerToken * BITS_PER_BYTE / (megabitsPerSecond * BITS_PER_MEGABIT_MILLI))
+        boolean hasLinkData = bytesPerToken > 0 && megabitsPerSecond > 0;
+        return hasLinkData
+                ? new TransferCost(
+                        bytesPerToken * BITS_PER_BYTE / (megabitsPerSecond * BITS_PER_MILLI_AT_ONE_MEGABIT_PER_SECOND))
                 : unsupported();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerLoad.java
@@ -1,19 +1,21 @@
 package org.dotterelcourse.policy.selection;
 
 /**
- * What is known of one worker when a request is placed.
+ * Snapshot of one worker's state and load, as input of a {@link WorkerSelector}.
  *
- * @param id the worker's name, unique in the fleet
- * @param incarnation names one start of the worker: after another start, nothing that was known of it holds
- * @param address its IP number and port, which it mostly keeps when it starts again under another name
- * @param dataCentre where it stands
- * @param slots how many requests it runs at once
- * @param inFlight requests that this process and its peers have there and that have no whole answer yet
- * @param interactiveStreams those among them whose pauses between events must be short
- * @param prefillMillis estimated work of the prompts there that have no first event yet, in milliseconds
- * @param suspected whether it lately failed requests or connections and should be left out while others are there
- * @param sendPermission whether it takes requests of this process; one that is closed gets nothing, but keeps its place among the others, since
- *     processes may use different ones
+ * @param id id of the worker, unique in the fleet
+ * @param incarnation identifies one start of the worker; after a restart, nothing learned about the previous incarnation
+ *     applies
+ * @param address IP address and port; a worker that restarts under another id usually keeps it
+ * @param dataCentre data centre of the worker
+ * @param slots number of requests that the worker runs concurrently
+ * @param inFlight requests that this process and its peers have sent to the worker and that are not fully answered
+ * @param interactiveStreams number of those requests that are streams with a target for short gaps between events
+ * @param prefillMillis estimated prefill time in milliseconds of the requests there that have had no first event yet
+ * @param suspected whether the worker recently failed requests or connections and should be avoided while there are
+ *     workers that are not suspected
+ * @param sendPermission whether this process may send the worker requests; one that is denied receives nothing but keeps
+ *     its rank, since other processes may be allowed to use it
  */
 public record WorkerLoad(
         String id,
@@ -27,9 +29,9 @@
         boolean suspected,
         SendPermission sendPermission) {
     /**
-     * Whether it may get a request.
+     * Whether this process may send the worker a request.
      *
-     * @return false while this process may send it nothing more
+     * @return false while the permission is {@link SendPermission#DENIED}
      */
     public boolean canReceive() {
         return sendPermission != SendPermission.DENIED;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/WorkerSelector.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * Chooses a worker for one request.
+ * Selects a worker for one request.
  *
- * @param <R> what the choice needs to know of the request
+ * @param <R> properties of the request that the selection depends on
  */
 public interface WorkerSelector<R> {
     /**
-     * Chooses.
+     * Selects one of the candidates.
      *
-     * @param request the request
-     * @param workers the workers that it may be sent to
-     * @param nowNanos the time on the monotonic clock
-     * @return the worker's id; empty if none should get it now
+     * @param request properties of the request
+     * @param workers candidates for the request
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return id of the selected worker; empty if no candidate should receive the request now
      */
     Optional<String> select(R request, List<WorkerLoad> workers, long nowNanos);
 }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/package-info.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/package-info.java
@@ -1,2 +1,2 @@
-/** Which worker gets a request that is sent on as it came, by what this process and its peers know of the workers. */
+/** Selects the worker for a forwarded request, based on what this process and its peers know about the workers. */
 package org.dotterelcourse.policy.selection;
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/CachedPrefixesTest.java
@@ -12,7 +12,7 @@
     private final CachedPrefixes prefixes = new CachedPrefixes();
 
     @Test
-    void partsCountUpToTheFirstThatTheWorkerHasNotRead() {
+    void cachedTokensEndBeforeTheFirstPartThatIsNotCached() {
         prefixes.recordSent(prompt("a", "b"), 1, SECOND);
         assertThat(prefixes.cachedTokens(prompt("a", "b"), 1, SECOND)).isEqualTo(200);
         assertThat(prefixes.cachedTokens(prompt("a", "c"), 1, SECOND)).isEqualTo(100);
@@ -20,20 +20,20 @@
         assertThat(prefixes.cachedTokens(prompt("a", "b"), 2, SECOND)).isZero();
     }
 
-    // Sixty processes get prompts that begin alike, each one of them every ten seconds. If they didn't tell each other
-    // where the beginning has been read, most of them would have it read anew.
+    // Sixty processes receive prompts with the same shared parts, each of them one every ten seconds. Without reports
+    // to each other, most of them would send these prompts to engines that have to read the parts again.
     @Test
-    void whatOneProcessHasSentAnotherOneKnows() {
+    void reportedLocationsAreKnownToPeers() {
         CachedPrefixes peer = new CachedPrefixes();
         prefixes.recordSent(prompt("a", "b"), 1, SECOND);
-        prefixes.drainUnreported().forEach(place -> peer.recordPeerReport(place, SECOND));
+        prefixes.drainUnreported().forEach(location -> peer.recordPeerReport(location, SECOND));
         assertThat(peer.cachedTokens(prompt("a", "b"), 1, SECOND)).isEqualTo(200);
         assertThat(peer.isCachedAnywhere("b", SECOND)).isTrue();
         assertThat(peer.drainUnreported()).isEmpty();
     }
 
     @Test
-    void aPlaceIsToldOnceUntilTheNewsOfItGetsOld() {
+    void aLocationIsReportedAgainOnlyAfterTheReportInterval() {
         prefixes.recordSent(prompt("a", "b"), 1, SECOND);
         assertThat(prefixes.drainUnreported()).hasSize(2);
         prefixes.recordSent(prompt("a", "b"), 1, 2 * SECOND);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aPartThatWasNotUsedForLongIsForgotten() {
+    void aPartThatIsNotUsedForTheRetentionPeriodIsEvicted() {
         prefixes.recordSent(prompt("a", "b"), 1, SECOND);
         assertThat(prefixes.isCachedAnywhere("a", 20 * SECOND)).isTrue();
         assertThat(prefixes.isCachedAnywhere("a", 40 * SECOND)).isFalse();
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineModelTest.java
@@ -10,10 +10,10 @@
 import static org.assertj.core.api.Assertions.within;
 
 class EngineModelTest {
-    // Most events of a busy engine come late, because a prompt was read in between. The time of a step without one is
-    // what an answer takes once the engine has less to read.
+    // Most events of a busy engine are late because the engine reads prompts in between. The estimate must be the time
+    // of a step without a prompt, at which answers advance once the engine has less to read.
     @Test
-    void theStepIsLearnedFromTheFasterEvents() {
+    void theStepTimeIsLearnedFromTheFastestEvents() {
         EngineModel model = new EngineModel();
         for (int i = 0; i < 500; i++) {
             model.recordEventGap(i % 10 < 4 ? 25 : 200, 5);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void anEventAtTheSameMomentSaysNothingOfTheStep() {
+    void anEventWithoutGapDoesNotChangeTheStepTime() {
         EngineModel model = new EngineModel();
         double before = model.stepMillis();
         model.recordEventGap(0, 5);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theLeadFollowsTheTimeToTheFirstEvent() {
+    void theLeadTimeIsTheMeanTimeToTheFirstEventPlusOneDeviation() {
         EngineModel model = new EngineModel();
         assertThat(model.leadTimeMillis()).isZero();
         for (int i = 0; i < 300; i++) {
@@ -39,43 +39,44 @@
         assertThat(model.leadTimeMillis()).isCloseTo(400, within(40.0));
     }
 
-    // A deployment of slower engines whose clients wait as much longer must get the same decisions.
+    // A deployment with slower engines and proportionally longer client timeouts must get the same decisions.
     @Property(tries = 300, seed = "7")
-    void allTimesTogetherScaledLeaveTheNumberOfStreamsAsItIs(
-            @ForAll @DoubleRange(min = 20, max = 800) double read,
+    void scalingAllTimesKeepsTheNumberOfStreams(
+            @ForAll @DoubleRange(min = 20, max = 800) double prefill,
             @ForAll @IntRange(min = 10, max = 500) int tokens,
             @ForAll @DoubleRange(min = 2, max = 20) double factor) {
-        int streams = model(read, tokens, 5).maxStreamsWithin(7_500);
-        int scaled = model(read * factor, tokens, 5 * factor).maxStreamsWithin(7_500 * factor);
-        // The learned step wavers by some hundredths of itself.
+        int streams = model(prefill, tokens, 5).maxStreamsWithin(7_500);
+        int scaled = model(prefill * factor, tokens, 5 * factor).maxStreamsWithin(7_500 * factor);
+        // The estimated step time fluctuates by a few percent.
         assertThat(scaled).isCloseTo(streams, within(1 + streams / 20));
     }
 
     @Property(tries = 300, seed = "7")
-    void thatManyStreamsEndInTimeByTheFormulaAndOneMoreDoesNot(
-            @ForAll @DoubleRange(min = 20, max = 800) double read, @ForAll @IntRange(min = 10, max = 500) int tokens) {
-        EngineModel model = model(read, tokens, 5);
+    void theLimitIsTheLargestNumberOfStreamsThatEndInTime(
+            @ForAll @DoubleRange(min = 20, max = 800) double prefill,
+            @ForAll @IntRange(min = 10, max = 500) int tokens) {
+        EngineModel model = model(prefill, tokens, 5);
         double answer = tokens * model.stepMillis();
         int streams = model.maxStreamsWithin(7_500);
         if (streams > 1) {
-            assertThat(stay(streams, read, answer)).isLessThanOrEqualTo(7_500.001);
+            assertThat(residenceMillis(streams, prefill, answer)).isLessThanOrEqualTo(7_500.001);
         }
-        assertThat(stay(streams + 1, read, answer)).isGreaterThan(7_500);
+        assertThat(residenceMillis(streams + 1, prefill, answer)).isGreaterThan(7_500);
     }
 
     @Test
-    void anAnswerThatAloneTakesTheWholeTimeGetsAnEngineForItself() {
+    void anAnswerThatTakesTheWholeTimeAllowsOnlyOneStream() {
         assertThat(model(100, 5_000, 5).maxStreamsWithin(7_500)).isEqualTo(1);
     }
 
-    private static double stay(int streams, double read, double answer) {
-        double b = read + streams * read + answer;
-        return (b + Math.sqrt(b * b - 4 * streams * read * read)) / 2;
+    private static double residenceMillis(int streams, double prefill, double answer) {
+        double b = prefill + streams * prefill + answer;
+        return (b + Math.sqrt(b * b - 4 * streams * prefill * prefill)) / 2;
     }
 
-    private static EngineModel model(double read, int tokens, double step) {
+    private static EngineModel model(double prefill, int tokens, double step) {
         EngineModel model = new EngineModel();
-        model.recordDispatch(read, tokens);
+        model.recordDispatch(prefill, tokens);
         model.recordCompletion(tokens);
         for (int i = 0; i < 2_000; i++) {
             model.recordEventGap(step, 1);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EnginePartitionTest.java
@@ -13,20 +13,20 @@
     private static final long SECOND = 1_000_000_000L;
 
     @Property(tries = 300, seed = "7")
-    void everyEngineIsForExactlyOnePace(
+    void everyEngineServesExactlyOneLatencyClass(
             @ForAll @IntRange(min = 3, max = 200) int engines,
-            @ForAll @IntRange(max = 50) int soon,
-            @ForAll @IntRange(max = 50) int patient) {
-        EnginePartition split = new EnginePartition();
-        for (int i = 0; i < soon; i++) {
-            split.recordArrival(prompt(LatencyClass.START_SENSITIVE), i * SECOND / 10);
+            @ForAll @IntRange(max = 50) int startSensitive,
+            @ForAll @IntRange(max = 50) int delayTolerant) {
+        EnginePartition partition = new EnginePartition();
+        for (int i = 0; i < startSensitive; i++) {
+            partition.recordArrival(prompt(LatencyClass.START_SENSITIVE), i * SECOND / 10);
         }
-        for (int i = 0; i < patient; i++) {
-            split.recordArrival(prompt(LatencyClass.DELAY_TOLERANT), (soon + i) * SECOND / 10);
+        for (int i = 0; i < delayTolerant; i++) {
+            partition.recordArrival(prompt(LatencyClass.DELAY_TOLERANT), (startSensitive + i) * SECOND / 10);
         }
         int next = 0;
         for (LatencyClass latencyClass : LatencyClass.values()) {
-            EnginePartition.Range range = split.range(latencyClass, engines);
+            EnginePartition.Range range = partition.range(latencyClass, engines);
             if (range.to() - range.from() < engines) {
                 assertThat(range.from()).isEqualTo(next);
                 assertThat(range.to()).isGreaterThan(range.from());
@@ -36,31 +36,32 @@
         assertThat(next).isIn(0, engines);
     }
 
-    // Each change gives parts of prompts another home, where they are read again. A mix that moves a little must not
-    // cause that.
+    // Each change of the partition gives prompt parts other preferred engines, which have to read them again. A small
+    // change of the traffic mix must not cause that.
     @Test
-    void aSmallChangeOfTheMixMovesNothing() {
-        EnginePartition split = new EnginePartition();
+    void aSmallChangeOfTheMixKeepsThePartition() {
+        EnginePartition partition = new EnginePartition();
         for (int i = 0; i < 60; i++) {
-            split.recordArrival(prompt(LatencyClass.values()[i % 3]), 1_000 * SECOND);
+            partition.recordArrival(prompt(LatencyClass.values()[i % 3]), 1_000 * SECOND);
         }
-        EnginePartition.Range before = split.range(LatencyClass.DELAY_TOLERANT, 12);
-        split.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
-        split.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
-        assertThat(split.range(LatencyClass.DELAY_TOLERANT, 12)).isEqualTo(before);
+        EnginePartition.Range before = partition.range(LatencyClass.DELAY_TOLERANT, 12);
+        partition.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
+        partition.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), 1_000 * SECOND);
+        assertThat(partition.range(LatencyClass.DELAY_TOLERANT, 12)).isEqualTo(before);
     }
 
-    // A process has just started. Its first request must not decide alone, or all engines would be for its pace.
+    // Without the assumed initial work, the first request of a new process would assign all engines to its latency
+    // class.
     @Test
-    void theFirstRequestOfAProcessDoesNotTakeAllEngines() {
-        EnginePartition split = new EnginePartition();
-        split.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), 1_000_000 * SECOND);
-        assertThat(split.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(6);
-        assertThat(split.range(LatencyClass.DELAY_TOLERANT, 12).from()).isLessThan(9);
+    void theFirstRequestDoesNotAssignAllEnginesToItsClass() {
+        EnginePartition partition = new EnginePartition();
+        partition.recordArrival(prompt(LatencyClass.GAP_SENSITIVE), 1_000_000 * SECOND);
+        assertThat(partition.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(6);
+        assertThat(partition.range(LatencyClass.DELAY_TOLERANT, 12).from()).isLessThan(9);
     }
 
     @Test
-    void processesThatHearOfEachOtherSplitAlike() {
+    void processesThatExchangeTheirWorkComputeTheSamePartition() {
         EnginePartition one = new EnginePartition();
         EnginePartition other = new EnginePartition();
         for (int i = 0; i < 100; i++) {
@@ -75,43 +76,42 @@
     }
 
     @Test
-    void aPeerThatHasGoneSilentNoLongerCounts() {
-        EnginePartition split = new EnginePartition();
-        split.recordPeerWork("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
-        EnginePartition.Range before = split.range(LatencyClass.GAP_SENSITIVE, 12);
-        split.recordArrival(prompt(LatencyClass.DELAY_TOLERANT), 20 * SECOND);
-        assertThat(split.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(before.to());
+    void theWorkOfAPeerThatStoppedReportingExpires() {
+        EnginePartition partition = new EnginePartition();
+        partition.recordPeerWork("gone", true, new LatencyClassWork(new double[] {1_000_000, 0, 0}), SECOND);
+        EnginePartition.Range before = partition.range(LatencyClass.GAP_SENSITIVE, 12);
+        partition.recordArrival(prompt(LatencyClass.DELAY_TOLERANT), 20 * SECOND);
+        assertThat(partition.range(LatencyClass.GAP_SENSITIVE, 12).to()).isLessThan(before.to());
     }
 
-    // A collector adds up for its reporters. If a process's own work came back to it in that sum, each round would
-    // count
-    // it once more.
+    // A collector sends each reporter the sum of the work of all others. If that sum included the work of the reporter
+    // itself, each round of reports would count it once more.
     @Test
-    void aCollectorsSumForAPeerLacksThatPeersOwnWork() {
+    void theSumForAPeerExcludesThatPeersWork() {
         EnginePartition collector = new EnginePartition();
-        double own = collector.localWork().total();
+        double local = collector.localWork().totalMillis();
         collector.recordPeerWork("reporter", true, new LatencyClassWork(new double[] {7, 0, 0}), SECOND);
         collector.recordPeerWork("other collector", false, new LatencyClassWork(new double[] {0, 5, 0}), SECOND);
-        assertThat(collector.reportersWork().total()).isEqualTo(own + 7);
-        assertThat(collector.workExcluding("reporter").total()).isEqualTo(own + 5);
-        assertThat(collector.workExcluding("other collector").total()).isEqualTo(own + 7);
+        assertThat(collector.reportersWork().totalMillis()).isEqualTo(local + 7);
+        assertThat(collector.workExcluding("reporter").totalMillis()).isEqualTo(local + 5);
+        assertThat(collector.workExcluding("other collector").totalMillis()).isEqualTo(local + 7);
     }
 
     @Test
-    void fewEnginesAreSharedByAll() {
-        EnginePartition split = new EnginePartition();
-        assertThat(split.range(LatencyClass.DELAY_TOLERANT, 1)).isEqualTo(new EnginePartition.Range(0, 1));
-        assertThat(split.range(LatencyClass.GAP_SENSITIVE, 2)).isEqualTo(new EnginePartition.Range(0, 1));
-        assertThat(split.range(LatencyClass.START_SENSITIVE, 2)).isEqualTo(new EnginePartition.Range(1, 2));
+    void fewerEnginesThanClassesAreShared() {
+        EnginePartition partition = new EnginePartition();
+        assertThat(partition.range(LatencyClass.DELAY_TOLERANT, 1)).isEqualTo(new EnginePartition.Range(0, 1));
+        assertThat(partition.range(LatencyClass.GAP_SENSITIVE, 2)).isEqualTo(new EnginePartition.Range(0, 1));
+        assertThat(partition.range(LatencyClass.START_SENSITIVE, 2)).isEqualTo(new EnginePartition.Range(1, 2));
     }
 
     @Test
-    void thePaceFollowsFromTheTargets() {
+    void theLatencyClassFollowsFromTheTargets() {
         assertThat(LatencyClass.of(120, 500, 2)).isEqualTo(LatencyClass.GAP_SENSITIVE);
         assertThat(LatencyClass.of(200, 800, 2)).isEqualTo(LatencyClass.START_SENSITIVE);
         assertThat(LatencyClass.of(500, 2_500, 2)).isEqualTo(LatencyClass.DELAY_TOLERANT);
         assertThat(LatencyClass.of(0, 100, 1)).isEqualTo(LatencyClass.START_SENSITIVE);
-        // Four tokens an event, which an engine that reads a prompt of 30,000 tokens makes in 292 ms.
+        // Four tokens per event, which take 292 ms on an engine that reads a prompt of 30,000 tokens.
         assertThat(LatencyClass.of(250, 500, 4)).isEqualTo(LatencyClass.GAP_SENSITIVE);
         assertThat(LatencyClass.of(300, 800, 4)).isEqualTo(LatencyClass.START_SENSITIVE);
     }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/EngineSelectorTest.java
@@ -18,13 +18,13 @@
     private static final long SECOND = 1_000_000_000L;
 
     private final CachedPrefixes prefixes = new CachedPrefixes();
-    private final EnginePartition split = new EnginePartition();
+    private final EnginePartition partition = new EnginePartition();
     private final EngineSelector selector = selector(1, prefixes);
 
-    // Eight processes route prompts that begin with the same long part. If each had an engine of its own for it, eight
-    // engines would read it, and the streams on all of them would stutter meanwhile.
+    // Eight processes route prompts that begin with the same long part. If each selected a different engine,
+    // eight engines would read the part, and the gaps between events would grow for the streams on all of them.
     @Test
-    void processesThatKnowNothingOfEachOtherSendAPartToTheSameEngine() {
+    void processesWithoutExchangeSelectTheSameEngineForAPart() {
         List<WorkerLoad> engines = idle(ENGINES);
         for (int part = 0; part < 50; part++) {
             Prompt prompt = prompt("part-" + part, LatencyClass.DELAY_TOLERANT);
@@ -36,23 +36,24 @@
         }
     }
 
-    // A long prompt holds up every step of its engine by some 50 ms; a stream with short pauses beside it is late.
+    // A long prompt lengthens the steps of its engine by about 50 ms, which makes gap-sensitive streams on the same
+    // engine late.
     @Test
-    void longPromptsAndStreamsWithShortPausesDoNotMeet() {
-        Map<String, LatencyClass> users = new HashMap<>();
+    void longPromptsAndGapSensitiveStreamsUseDifferentEngines() {
+        Map<String, LatencyClass> classByEngine = new HashMap<>();
         List<WorkerLoad> engines = idle(ENGINES);
         for (int i = 0; i < 200; i++) {
             LatencyClass latencyClass = i % 2 == 0 ? LatencyClass.DELAY_TOLERANT : LatencyClass.GAP_SENSITIVE;
             String engine = selector.select(prompt("p" + i, latencyClass), engines, SECOND)
                     .orElseThrow();
-            assertThat(users.putIfAbsent(engine, latencyClass)).isIn(null, latencyClass);
+            assertThat(classByEngine.putIfAbsent(engine, latencyClass)).isIn(null, latencyClass);
         }
     }
 
-    // One process has just failed to reach an engine, another one has not tried. If the first counted it out of the
-    // ranks, all parts would have other homes there than elsewhere, and be read again.
+    // One process has just failed to reach an engine, another has not tried. If the first removed the engine from the
+    // ranking, the preferred engines of all parts would differ between the two, and the parts would be read again.
     @Test
-    void aSuspectedEngineChangesTheHomesOfNoOtherEnginesParts() {
+    void aSuspectedEngineDoesNotMovePartsOfOtherEngines() {
         List<WorkerLoad> engines = idle(ENGINES);
         List<WorkerLoad> oneSuspected = new ArrayList<>(engines);
         WorkerLoad suspect = engines.get(5);
@@ -69,9 +70,9 @@
         }
     }
 
-    // An engine crashes and starts again: same address, new name. Nothing else has changed, and nothing else may move.
+    // An engine crashes and restarts at the same address under a new id. No part may move to another engine.
     @Test
-    void anEngineThatStartsAgainAtItsAddressKeepsItsParts() {
+    void anEngineThatRestartsAtTheSameAddressKeepsItsParts() {
         List<WorkerLoad> engines = idle(ENGINES);
         List<WorkerLoad> restarted = new ArrayList<>(engines);
         restarted.set(7, load("another-name", engines.get(7).address(), 0, 0, false));
@@ -83,52 +84,54 @@
         }
     }
 
-    // Everybody asks for the same text at once. Waiting seconds at its engine makes every one of them late.
+    // Many clients send the same text at once. If all of them waited seconds for its engine, all would be late.
     @Test
-    void aPartWhoseEngineIsFarBehindIsReadAgainElsewhere() {
+    void aPartIsReadAgainElsewhereIfItsEngineHasALongBacklog() {
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
-        String home = selector.select(prompt, engines, SECOND).orElseThrow();
+        String preferred = selector.select(prompt, engines, SECOND).orElseThrow();
         List<WorkerLoad> busy = engines.stream()
-                .map(each -> each.id().equals(home) ? load(home, each.address(), 20, 3_000, false) : each)
+                .map(each -> each.id().equals(preferred) ? load(preferred, each.address(), 20, 3_000, false) : each)
                 .toList();
-        assertThat(selector.select(prompt, busy, SECOND)).isPresent().get().isNotEqualTo(home);
+        assertThat(selector.select(prompt, busy, SECOND)).isPresent().get().isNotEqualTo(preferred);
     }
 
-    // A burst of prompts with parts that no engine has read yet: each engine is behind by another amount. Were a prompt
-    // free to go wherever the queue is shortest, most engines would read the same parts, and everybody would wait
+    // A burst of prompts with parts that no engine has read yet meets engines with different backlogs. If each prompt
+    // went to the engine with the shortest queue, most engines would read the same parts and all requests would wait
     // longer.
     @Test
-    void inABurstThePartsAreReadAtAFewEnginesOnly() {
+    void inABurstAPartIsReadOnFewEnginesOnly() {
         Random random = new Random(7);
-        Set<String> readers = new HashSet<>();
+        Set<String> readingEngines = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            List<WorkerLoad> behind = idle(60).stream()
+            List<WorkerLoad> busy = idle(60).stream()
                     .map(each -> load(each.id(), each.address(), 5, random.nextInt(3_000), false))
                     .toList();
             Prompt prompt = prompt("new", LatencyClass.DELAY_TOLERANT);
-            readers.add(selector.select(prompt, behind, SECOND).orElseThrow());
+            readingEngines.add(selector.select(prompt, busy, SECOND).orElseThrow());
         }
-        assertThat(readers).hasSizeLessThanOrEqualTo(3);
+        assertThat(readingEngines).hasSizeLessThanOrEqualTo(3);
     }
 
-    // The mix has changed and the engine that has read a part is now for streams of another pace. A prompt of which
-    // only
-    // the end is to be read holds those up little, and reading all of it elsewhere would take four times as long.
+    // The traffic mix has changed and the engine that has a part in its cache now serves another latency class. A
+    // prompt of which only the end has to be read delays the streams there little, and reading all of it elsewhere
+    // would take four times as long.
     @Test
-    void aPartThatWasReadIsUsedAlsoWhereItsEngineIsForAnotherPaceNow() {
+    void aCachedPartIsUsedEvenIfItsEngineNowServesAnotherClass() {
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("part", LatencyClass.DELAY_TOLERANT);
         String first = selector.select(prompt, engines, SECOND).orElseThrow();
         prefixes.recordSent(prompt, first.hashCode(), SECOND);
-        EnginePartition changed = new EnginePartition();
-        changed.recordPeerWork("peer", true, new LatencyClassWork(new double[] {20_000, 20_000, 1_000}), SECOND);
-        EngineSelector after = new EngineSelector("dc", prefixes, changed, TransferCost.unsupported(), new Random(3));
-        assertThat(after.select(prompt, engines, 2 * SECOND)).contains(first);
+        EnginePartition changedPartition = new EnginePartition();
+        changedPartition.recordPeerWork(
+                "peer", true, new LatencyClassWork(new double[] {20_000, 20_000, 1_000}), SECOND);
+        EngineSelector selectorAfterChange =
+                new EngineSelector("dc", prefixes, changedPartition, TransferCost.unsupported(), new Random(3));
+        assertThat(selectorAfterChange.select(prompt, engines, 2 * SECOND)).contains(first);
     }
 
     @Test
-    void suspectedEnginesAreUsedWhereThereAreNoOthers() {
+    void suspectedEnginesAreUsedIfThereAreNoOthers() {
         List<WorkerLoad> engines = List.of(load("a", "10.0.0.1:1", 0, 0, true), load("b", "10.0.0.2:1", 0, 0, true));
         assertThat(selector.select(prompt("p", LatencyClass.START_SENSITIVE), engines, SECOND))
                 .isPresent();
@@ -137,68 +140,71 @@
     }
 
     @Test
-    void aPromptGoesWhereItsPartsHaveBeenReadThoughThatIsNotTheirHome() {
+    void cachedTokensExpireAfterTheRetentionPeriod() {
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("part", LatencyClass.START_SENSITIVE);
-        String home = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.recordSent(prompt, home.hashCode(), SECOND);
-        assertThat(prefixes.cachedTokens(prompt, home.hashCode(), 2 * SECOND)).isEqualTo(13_000);
-        assertThat(prefixes.cachedTokens(prompt, home.hashCode(), 100 * SECOND)).isZero();
+        String preferred = selector.select(prompt, engines, SECOND).orElseThrow();
+        prefixes.recordSent(prompt, preferred.hashCode(), SECOND);
+        assertThat(prefixes.cachedTokens(prompt, preferred.hashCode(), 2 * SECOND))
+                .isEqualTo(13_000);
+        assertThat(prefixes.cachedTokens(prompt, preferred.hashCode(), 100 * SECOND))
+                .isZero();
     }
 
-    // The engine that has read a long part is far behind. Another one that is idle can fetch the part in some
-    // milliseconds, where reading it again would take it two hundred.
+    // The engine that has a long part in its cache has a long backlog. An idle engine can fetch the part in a few
+    // milliseconds, while reading it again would take two hundred.
     @Test
-    void anIdleEngineFetchesWhatABusyOneHasRead() {
+    void anIdleEngineFetchesPartsFromABusyEngine() {
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
-        String home = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.recordSent(prompt, home.hashCode(), SECOND);
-        List<WorkerLoad> busy = withLoad(engines, home, 20, 3_000, false);
-        assertThat(fetching().choose(prompt, busy, Integer.MAX_VALUE, 3 * SECOND))
-                .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
-                    assertThat(choice.id()).isNotEqualTo(home);
-                    assertThat(choice.fetchSource()).contains(home);
-                    assertThat(choice.cachedTokens()).isEqualTo(13_000);
+        String preferred = selector.select(prompt, engines, SECOND).orElseThrow();
+        prefixes.recordSent(prompt, preferred.hashCode(), SECOND);
+        List<WorkerLoad> busy = withLoad(engines, preferred, 20, 3_000, false);
+        assertThat(fetchingSelector().choose(prompt, busy, Integer.MAX_VALUE, 3 * SECOND))
+                .isInstanceOfSatisfying(SelectionResult.Selected.class, selected -> {
+                    assertThat(selected.id()).isNotEqualTo(preferred);
+                    assertThat(selected.fetchSource()).contains(preferred);
+                    assertThat(selected.cachedTokens()).isEqualTo(13_000);
                 });
     }
 
-    // A prompt was sent there a moment ago and may still wait. Whoever fetches from there now gets nothing.
+    // A prompt was sent to an engine a moment ago and may still be queued there. A fetch from that engine would return
+    // nothing.
     @Test
-    void nothingIsFetchedThatMayNotHaveBeenReadYet() {
+    void partsThatMayNotHaveBeenReadYetAreNotFetched() {
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
         prefixes.recordSent(prompt, engines.get(0).incarnation(), 3 * SECOND);
         List<WorkerLoad> busy = withLoad(engines, engines.get(0).id(), 20, 3_000, false);
-        assertThat(source(prompt, busy, 3 * SECOND + SECOND / 10)).isEmpty();
-        assertThat(source(prompt, busy, 5 * SECOND)).isPresent();
+        assertThat(fetchSource(prompt, busy, 3 * SECOND + SECOND / 10)).isEmpty();
+        assertThat(fetchSource(prompt, busy, 5 * SECOND)).isPresent();
     }
 
-    // An engine that has gone silent keeps everybody waiting who fetches from it.
+    // An engine that does not respond delays every request that fetches from it.
     @Test
-    void nothingIsFetchedFromASuspectedEngine() {
+    void partsAreNotFetchedFromASuspectedEngine() {
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("hot", LatencyClass.DELAY_TOLERANT);
         prefixes.recordSent(prompt, engines.get(0).incarnation(), SECOND);
         List<WorkerLoad> suspected = withLoad(engines, engines.get(0).id(), 0, 0, true);
-        assertThat(source(prompt, suspected, 3 * SECOND)).isEmpty();
+        assertThat(fetchSource(prompt, suspected, 3 * SECOND)).isEmpty();
     }
 
     @Test
-    void aPartIsUsedWhereItIsRatherThanFetchedWhileNobodyWaitsThere() {
+    void aPartIsNotFetchedWhileItsEngineIsIdle() {
         List<WorkerLoad> engines = idle(ENGINES);
         Prompt prompt = prompt("part", LatencyClass.DELAY_TOLERANT);
-        String home = selector.select(prompt, engines, SECOND).orElseThrow();
-        prefixes.recordSent(prompt, home.hashCode(), SECOND);
-        assertThat(fetching().choose(prompt, engines, Integer.MAX_VALUE, 3 * SECOND))
-                .isInstanceOfSatisfying(SelectionResult.Selected.class, choice -> {
-                    assertThat(choice.id()).isEqualTo(home);
-                    assertThat(choice.fetchSource()).isEmpty();
+        String preferred = selector.select(prompt, engines, SECOND).orElseThrow();
+        prefixes.recordSent(prompt, preferred.hashCode(), SECOND);
+        assertThat(fetchingSelector().choose(prompt, engines, Integer.MAX_VALUE, 3 * SECOND))
+                .isInstanceOfSatisfying(SelectionResult.Selected.class, selected -> {
+                    assertThat(selected.id()).isEqualTo(preferred);
+                    assertThat(selected.fetchSource()).isEmpty();
                 });
     }
 
     @Test
-    void onlyEnginesWithRoomAreChosenAndFullOnesAreToldApartFromNone() {
+    void onlyEnginesWithCapacityAreSelectedAndTheResultSaysWhetherEnginesExist() {
         Prompt prompt = prompt("p", LatencyClass.DELAY_TOLERANT);
         List<WorkerLoad> full = idle(ENGINES).stream()
                 .map(each -> load(each.id(), each.address(), 20, 0, false))
@@ -209,17 +215,18 @@
         assertThat(selector.choose(prompt, oneFree, 20, SECOND))
                 .isInstanceOfSatisfying(
                         SelectionResult.Selected.class,
-                        choice -> assertThat(choice.id()).isEqualTo(full.get(3).id()));
+                        selected ->
+                                assertThat(selected.id()).isEqualTo(full.get(3).id()));
     }
 
-    private EngineSelector fetching() {
-        TransferCost transfer = TransferCost.ofLink(160_000, 1_000_000);
-        return new EngineSelector("dc", prefixes, split, transfer, new Random(5));
+    private EngineSelector fetchingSelector() {
+        TransferCost transferCost = TransferCost.ofLink(160_000, 1_000_000);
+        return new EngineSelector("dc", prefixes, partition, transferCost, new Random(5));
     }
 
-    private Optional<String> source(Prompt prompt, List<WorkerLoad> engines, long nowNanos) {
-        SelectionResult choice = fetching().choose(prompt, engines, Integer.MAX_VALUE, nowNanos);
-        return ((SelectionResult.Selected) choice).fetchSource();
+    private Optional<String> fetchSource(Prompt prompt, List<WorkerLoad> engines, long nowNanos) {
+        SelectionResult result = fetchingSelector().choose(prompt, engines, Integer.MAX_VALUE, nowNanos);
+        return ((SelectionResult.Selected) result).fetchSource();
     }
 
     private static List<WorkerLoad> withLoad(
@@ -229,40 +236,39 @@
                 .toList();
     }
 
-    // An engine is cold, and another process may send it a request where this one may not. Both must agree on the homes
-    // of
-    // all parts, and nothing may go to the engine from here.
+    // An engine is in its cold start, and another process may send it a request while this one may not. Both must
+    // determine the same preferred engines for all parts, and this process must not send to the engine.
     @Test
-    void aClosedEngineGetsNothingAndKeepsItsPlaceAmongTheOthers() {
-        List<WorkerLoad> open = idle(9);
+    void aDeniedEngineIsNotSelectedAndKeepsItsRank() {
+        List<WorkerLoad> engines = idle(9);
         for (int i = 0; i < 40; i++) {
             Prompt prompt = prompt("part-" + i, LatencyClass.DELAY_TOLERANT);
-            String home =
-                    selector(1, new CachedPrefixes()).select(prompt, open, 0).orElseThrow();
-            String other = selector(1, new CachedPrefixes())
-                    .select(prompt, closed(open, "engine-0"), 0)
+            String preferred =
+                    selector(1, new CachedPrefixes()).select(prompt, engines, 0).orElseThrow();
+            String selected = selector(1, new CachedPrefixes())
+                    .select(prompt, denied(engines, "engine-0"), 0)
                     .orElseThrow();
-            assertThat(other).isNotEqualTo("engine-0");
-            if (!home.equals("engine-0")) {
-                assertThat(other).isEqualTo(home);
+            assertThat(selected).isNotEqualTo("engine-0");
+            if (!preferred.equals("engine-0")) {
+                assertThat(selected).isEqualTo(preferred);
             }
         }
         assertThat(selector(1, new CachedPrefixes())
                         .choose(
                                 prompt("p", LatencyClass.START_SENSITIVE),
-                                closed(idle(1), "engine-0"),
+                                denied(idle(1), "engine-0"),
                                 Integer.MAX_VALUE,
                                 0))
                 .isInstanceOf(SelectionResult.NoCapacity.class);
     }
 
-    private static List<WorkerLoad> closed(List<WorkerLoad> engines, String id) {
+    private static List<WorkerLoad> denied(List<WorkerLoad> engines, String id) {
         return engines.stream()
-                .map(each -> each.id().equals(id) ? closed(each) : each)
+                .map(each -> each.id().equals(id) ? denied(each) : each)
                 .toList();
     }
 
-    private static WorkerLoad closed(WorkerLoad engine) {
+    private static WorkerLoad denied(WorkerLoad engine) {
         return new WorkerLoad(
                 engine.id(),
                 engine.incarnation(),
@@ -277,7 +283,7 @@
     }
 
     private EngineSelector selector(long seed, CachedPrefixes cached) {
-        return new EngineSelector("dc", cached, split, TransferCost.unsupported(), new Random(seed));
+        return new EngineSelector("dc", cached, partition, TransferCost.unsupported(), new Random(seed));
     }
 
     private static Prompt prompt(String part, LatencyClass latencyClass) {
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/selection/LeastLoadedSelectorTest.java
@@ -11,7 +11,7 @@
     private final LeastLoadedSelector selector = new LeastLoadedSelector(new Random(1));
 
     @Test
-    void theWorkerWithTheFewestCallsPerSlotIsChosen() {
+    void theWorkerWithTheFewestCallsPerSlotIsSelected() {
         List<WorkerLoad> workers = List.of(load("small", "dc", 2, 2, false), load("large", "dc", 6, 3, false));
         assertThat(selector.select("dc", workers, 0)).contains("large");
     }
@@ -24,30 +24,31 @@
         assertThat(selector.select("dc", busy, 0)).contains("far");
     }
 
-    // A burst has filled every worker several times over. A call that is sent on now waits longer than its caller does.
+    // After a burst, every worker has several times as many calls as slots. A further call would take longer than its
+    // latency target allows.
     @Test
-    void noWorkerIsChosenWhileAllAreFullSeveralTimesOver() {
+    void noWorkerIsSelectedWhileAllAreAtTheLimitPerSlot() {
         List<WorkerLoad> workers = List.of(load("a", "dc", 6, 24, false), load("b", "dc", 6, 30, false));
         assertThat(selector.select("dc", workers, 0)).isEmpty();
     }
 
     @Test
-    void aSuspectedWorkerIsLeftOutUnlessThereAreNoOthers() {
+    void aSuspectedWorkerIsSelectedOnlyIfThereAreNoOthers() {
         List<WorkerLoad> workers = List.of(load("bad", "dc", 6, 0, true), load("good", "dc", 6, 5, false));
         assertThat(selector.select("dc", workers, 0)).contains("good");
         assertThat(selector.select("dc", workers.subList(0, 1), 0)).contains("bad");
     }
 
-    // The only idle worker is cold and has had its part from this process. One more request could crash it; one that is
-    // suspected is tried first.
+    // The only idle worker is in its cold start and has received the share of this process. One more request could
+    // crash it, so a suspected worker is selected instead.
     @Test
-    void aClosedWorkerGetsNothingThoughAllOthersAreSuspected() {
-        WorkerLoad closed = load("cold", "dc", 0, false, SendPermission.DENIED);
-        assertThat(selector.select("dc", List.of(closed), 0)).isEmpty();
-        assertThat(selector.select("dc", List.of(closed, load("bad", "dc", 6, 5, true)), 0))
+    void aDeniedWorkerIsNotSelectedEvenIfAllOthersAreSuspected() {
+        WorkerLoad denied = load("cold", "dc", 0, false, SendPermission.DENIED);
+        assertThat(selector.select("dc", List.of(denied), 0)).isEmpty();
+        assertThat(selector.select("dc", List.of(denied, load("bad", "dc", 6, 5, true)), 0))
                 .contains("bad");
-        WorkerLoad open = load("open", "dc", 0, false, SendPermission.RATE_LIMITED);
-        assertThat(selector.select("dc", List.of(closed, open), 0)).contains("open");
+        WorkerLoad rateLimited = load("open", "dc", 0, false, SendPermission.RATE_LIMITED);
+        assertThat(selector.select("dc", List.of(denied, rateLimited), 0)).contains("open");
     }
 
     private static WorkerLoad load(String id, String dataCentre, int slots, int inFlight, boolean suspected) {
@@ -65,7 +66,7 @@
     }
 
     private static WorkerLoad load(
-            String id, String dataCentre, int inFlight, boolean suspected, SendPermission state) {
-        return new WorkerLoad(id, id.hashCode(), "10.0.0.1:1", dataCentre, 6, inFlight, 0, 0, suspected, state);
+            String id, String dataCentre, int inFlight, boolean suspected, SendPermission permission) {
+        return new WorkerLoad(id, id.hashCode(), "10.0.0.1:1", dataCentre, 6, inFlight, 0, 0, suspected, permission);
     }
 }
