--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/DaemonAddress.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/DaemonAddress.java
@@ -1,10 +1,10 @@
 package org.dotterelcourse.daemon.peers;
 
 /**
- * A daemon that a caller may use.
+ * Address of a daemon to which a caller may send requests.
  *
- * @param address IP number and port for callers
- * @param dataCentre its data centre
- * @param weight how much of the caller's load it should get, against the others'
+ * @param address IP address and port of the daemon's listener for callers, as {@code address:port}
+ * @param dataCentre name of the daemon's data centre
+ * @param weight relative share of the caller's load that the daemon should receive
  */
 public record DaemonAddress(String address, String dataCentre, int weight) {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/MessageListener.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/MessageListener.java
@@ -1,13 +1,13 @@
 package org.dotterelcourse.daemon.peers;
 
-/** Hears of messages of other daemons. */
+/** Receives the messages that other daemons send on a channel. */
 @FunctionalInterface
 public interface MessageListener {
     /**
-     * A message has come.
+     * Handles a message.
      *
-     * @param from the sender's name, by its own word
-     * @param body the message
+     * @param from the name that the sender put into the message; not authenticated
+     * @param body the message in the channel's own encoding
      */
     void received(String from, byte[] body);
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/Peers.java
@@ -38,16 +38,19 @@
 import org.dotterelcourse.daemon.platform.VmWatcher;
 import org.jboss.logging.Logger;
 
-/** The other daemons: who they are, how to reach them, and what they are told of this one. */
+/**
+ * Connects this daemon to the others of the fleet: runs the membership protocol, publishes this daemon's payload, and
+ * sends and receives messages.
+ */
 public final class Peers implements Service {
-    /** The name that it is found by. */
+    /** The name under which the kernel registers this service. */
     public static final ServiceName<Peers> NAME = new ServiceName<>("peers", Peers.class);
 
-    /** How long a suspect keeps what it owns: most suspicions are refuted within it. */
+    /** Time for which a suspected daemon keeps what it owns; most suspicions are refuted within it. */
     public static final long SUSPECT_GRACE_NANOS = 1_500_000_000L;
 
-    /** Enough for a caller to survive the loss of one of them, and of one data centre. */
-    private static final int ADDRESSES = 3;
+    /** Lets a caller tolerate the loss of one of its daemons, and of one data centre. */
+    private static final int ADDRESSES_PER_CALLER = 3;
 
     private static final Logger LOG = Logger.getLogger(Peers.class);
 
@@ -56,9 +59,9 @@
     private final Optional<EventLoop> sharedLoop;
     private final List<Consumer<List<Member>>> viewListeners = new CopyOnWriteArrayList<>();
     private final List<MembershipListener> membershipListeners = new CopyOnWriteArrayList<>();
-    private final Map<String, MemberState> states = new HashMap<>();
+    private final Map<String, MemberState> lastStates = new HashMap<>();
     private volatile List<Member> view = List.of();
-    private volatile Runnable onSuperseded = () -> {};
+    private volatile Runnable supersededListener = () -> {};
     private Payload payload;
     private AuditTrail audit;
     private ControlLoop loop;
@@ -67,21 +70,21 @@
     private MembershipDriver driver;
 
     /**
-     * Makes a view that holds nobody.
+     * Creates the service with an event loop of its own. The view is empty until the service is started.
      *
-     * @param settings this daemon's name, place and port
-     * @param incarnation rises with every start of a daemon of this name
+     * @param settings this daemon's settings: its name, location, address and peer port
+     * @param incarnation incarnation of this process, higher than at any earlier start of a daemon of this name
      */
     public Peers(DaemonSettings settings, long incarnation) {
         this(settings, incarnation, Optional.empty());
     }
 
     /**
-     * Makes a view that holds nobody.
+     * Creates the service. The view is empty until the service is started.
      *
-     * @param settings this daemon's name, place and port
-     * @param incarnation rises with every start of a daemon of this name
-     * @param sharedLoop the thread to run on, if that isn't to be one of its own; it has to outlive this service
+     * @param settings this daemon's settings: its name, location, address and peer port
+     * @param incarnation incarnation of this process, higher than at any earlier start of a daemon of this name
+     * @param sharedLoop the event loop to run on; must outlive this service. If empty, the transport creates its own
      */
     public Peers(DaemonSettings settings, long incarnation, Optional<EventLoop> sharedLoop) {
         this.settings = settings;
@@ -109,7 +112,9 @@
             PeerTransportBuilder builder = PeerTransport.builder()
                     .bind(new InetSocketAddress(settings.address(), settings.peersPort()))
                     .self(self)
-                    .onFailure(failure -> LOG.warn("a message of another daemon could not be taken", failure));
+                    .onFailure(failure -> LOG.warn(
+                            "can't process a message of another daemon; skipping it or closing its connection",
+                            failure));
             sharedLoop.ifPresent(builder::loop);
             transport = builder.build().start();
         } catch (UncheckedIOException e) {
@@ -121,9 +126,9 @@
                 .payload(payload)
                 .random(RandomGenerator.getDefault())
                 .build(System.nanoTime());
-        driver = new MembershipDriver(transport, membership, this::changed);
+        driver = new MembershipDriver(transport, membership, this::handleEffect);
         driver.start(MembershipSettings.STANDARD.tickNanos());
-        kernel.find(VmWatcher.NAME).onChange(this::listed);
+        kernel.find(VmWatcher.NAME).onChange(this::handleListedVms);
         transport.execute(this::publishView);
         return List.of();
     }
@@ -136,63 +141,64 @@
     }
 
     /**
-     * This daemon's name.
+     * Returns the name of this daemon.
      *
-     * @return the VM's name
+     * @return the name of its VM
      */
     public String self() {
         return settings.name();
     }
 
     /**
-     * The data centre that this daemon stands in.
+     * Returns the data centre of this daemon.
      *
-     * @return its name
+     * @return name of the data centre
      */
     public String dataCentre() {
         return settings.dataCentre();
     }
 
     /**
-     * The region that this daemon stands in.
+     * Returns the region of this daemon.
      *
-     * @return its name
+     * @return name of the region
      */
     public String region() {
         return settings.region();
     }
 
     /**
-     * Tells this life of the process from others of the same name.
+     * Returns the incarnation with which this process started. It distinguishes the process from earlier and later ones of
+     * the same name.
      *
-     * @return the incarnation that the process started with
+     * @return the incarnation given to the constructor
      */
     public long incarnation() {
         return incarnation;
     }
 
     /**
-     * The port of this daemon's peers' side.
+     * Returns the port on which this daemon listens for other daemons.
      *
-     * @return TCP and UDP port
+     * @return number of the TCP and UDP port
      */
     public int port() {
         return transport.port();
     }
 
     /**
-     * The fleet as it was last seen.
+     * Returns the latest view of the fleet.
      *
-     * @return this daemon first; dead ones are included for a while
+     * @return the members, this daemon first; dead ones are included until the membership evicts them
      */
     public List<Member> view() {
         return view;
     }
 
     /**
-     * Calls back on the control loop with each new view of the fleet.
+     * Adds a listener for views of the fleet. It is called with the current view and then with each new one.
      *
-     * @param listener must not block
+     * @param listener called on the control loop; must not block
      */
     public void onView(Consumer<List<Member>> listener) {
         viewListeners.add(listener);
@@ -200,26 +206,27 @@
     }
 
     /**
-     * Sends a message to a daemon; to one that is not known it is dropped, as the network would do.
+     * Sends a message to a daemon. If the daemon is not in the current view, the message is silently dropped; callers must
+     * expect loss anyway, since the transport is best effort.
      *
-     * @param member the daemon's name
-     * @param channel the channel
-     * @param body the message
+     * @param member name of the daemon
+     * @param channel name of the channel
+     * @param body the message in the channel's own encoding
      */
     public void send(String member, String channel, byte[] body) {
-        for (Member each : view) {
-            if (each.name().equals(member)) {
-                transport.send(each.address(), channel, body);
+        for (Member candidate : view) {
+            if (candidate.name().equals(member)) {
+                transport.send(candidate.address(), channel, body);
                 return;
             }
         }
     }
 
     /**
-     * Takes the messages of a channel, on the control loop.
+     * Sets the listener for the messages of a channel.
      *
-     * @param channel the channel
-     * @param listener hears of each message with its sender's name
+     * @param channel name of the channel
+     * @param listener called on the control loop with each message; must not block
      */
     public void registerListener(String channel, MessageListener listener) {
         transport.registerHandler(
@@ -228,23 +235,23 @@
     }
 
     /**
-     * Tells the others which number this daemon has in force.
+     * Publishes to the other daemons which configuration is active on this one.
      *
-     * @param number the number
-     * @param digest its digest
+     * @param number sequence number of the configuration
+     * @param digest digest of the configuration, 0 for none
      */
     public void publishConfiguration(long number, long digest) {
-        transport.execute(() -> tell(payload.withConfiguration(number, digest)));
+        transport.execute(() -> publishPayload(payload.withConfiguration(number, digest)));
     }
 
     /**
-     * Tells which port callers reach this daemon on, once it is known.
+     * Publishes to the other daemons the port on which this one listens for callers.
      *
-     * @param port the TCP port
+     * @param port number of the TCP port
      */
     public void publishCallersPort(int port) {
         String address = settings.address() + ":" + port;
-        transport.execute(() -> tell(new Payload(
+        transport.execute(() -> publishPayload(new Payload(
                 address,
                 payload.dataCentre(),
                 payload.region(),
@@ -254,87 +261,90 @@
     }
 
     /**
-     * Calls back when another process has taken this daemon's name: its VM was replaced while it was paused or cut off.
+     * Sets the listener that is called when another process has taken over this daemon's name, because its VM was replaced
+     * while this process was paused or disconnected.
      *
-     * @param listener must not block; there is one
+     * @param listener called on the transport's thread, must not block; replaces an earlier listener
      */
     public void onSuperseded(Runnable listener) {
-        onSuperseded = listener;
+        supersededListener = listener;
     }
 
-    /** Tells the others that this daemon is leaving. */
+    /** Announces to the other daemons that this one is leaving the fleet. */
     public void leave() {
         driver.submit(new MembershipEvent.Leave());
     }
 
     /**
-     * The daemons that a caller may use.
+     * Returns the daemons to which a caller may send its requests.
      *
-     * @param caller anything that stays the same for one caller
-     * @return own data centre first; empty if no daemon may be used
+     * @param caller a stable identifier of the caller; the same identifier yields the same daemons while they are available
+     * @return the addresses, those of this daemon's data centre first; empty if no daemon is available
      */
     public List<DaemonAddress> daemonAddresses(String caller) {
-        List<Member> reachable = view.stream().filter(Peers::servesCallers).toList();
-        Ownership ownership = new Ownership(reachable, 0, System.nanoTime());
+        List<Member> candidates = view.stream().filter(Peers::isServingCallers).toList();
+        Ownership ownership = new Ownership(candidates, 0, System.nanoTime());
         List<DaemonAddress> addresses = new ArrayList<>();
-        for (Member member : ownership.addresses(caller, settings.dataCentre(), settings.region(), ADDRESSES)) {
-            boolean near = member.payload().dataCentre().equals(settings.dataCentre());
+        for (Member member :
+                ownership.addresses(caller, settings.dataCentre(), settings.region(), ADDRESSES_PER_CALLER)) {
+            boolean sameDataCentre = member.payload().dataCentre().equals(settings.dataCentre());
             addresses.add(new DaemonAddress(
-                    member.payload().callersAddress(), member.payload().dataCentre(), near ? 2 : 1));
+                    member.payload().callersAddress(), member.payload().dataCentre(), sameDataCentre ? 2 : 1));
         }
         return addresses;
     }
 
-    /** A daemon that has just started listens before it has a configuration, and would turn callers away. */
-    private static boolean servesCallers(Member member) {
-        Payload told = member.payload();
-        return !told.callersAddress().isEmpty() && told.configurationNumber() > 0;
+    /** Excludes daemons without a configuration: one that has just started already listens, but rejects all callers. */
+    private static boolean isServingCallers(Member member) {
+        Payload published = member.payload();
+        return !published.callersAddress().isEmpty() && published.configurationNumber() > 0;
     }
 
     /**
-     * The transport that the others are reached by, for parts that bring a driver of their own.
+     * Returns the transport to the other daemons, for services with a protocol driver of their own.
      *
-     * @return the transport; handlers run on its thread
+     * @return the transport; its handlers run on its own thread, not on the control loop
      */
     public PeerTransport transport() {
         return transport;
     }
 
     /**
-     * Calls back on the transport's thread with each effect of the membership.
+     * Adds a listener for the effects of the membership protocol.
      *
-     * @param listener must not block
+     * @param listener called on the transport's thread; must not block
      */
     public void onMembership(MembershipListener listener) {
         membershipListeners.add(listener);
     }
 
     /**
-     * Calls back once, on the transport's thread, with what is known before any other daemon is.
+     * Calls a listener once with this daemon's identity and the current members. While the services start, these are the
+     * members before any other daemon has been discovered.
      *
-     * @param listener must not block
+     * @param listener called on the transport's thread; must not block
      */
     public void onStart(BiConsumer<MemberId, List<Member>> listener) {
         transport.execute(() -> listener.accept(membership.self(), membership.members()));
     }
 
-    private void tell(Payload changed) {
+    private void publishPayload(Payload changed) {
         payload = changed;
         driver.handle(new MembershipEvent.PayloadChanged(changed));
         publishView();
     }
 
-    private void listed(List<Vm> vms) {
+    private void handleListedVms(List<Vm> vms) {
         List<ListedVm> others = vms.stream()
                 .filter(vm -> vm.kind().equals(Vm.ENTRY) && !vm.name().equals(settings.name()))
-                .map(vm -> new ListedVm(vm.name(), address(vm.address())))
+                .map(vm -> new ListedVm(vm.name(), parseAddress(vm.address())))
                 .toList();
         driver.submit(new MembershipEvent.Listed(others));
     }
 
-    private void changed(MembershipEffect effect) {
+    private void handleEffect(MembershipEffect effect) {
         if (effect instanceof MembershipEffect.Changed changed) {
-            audit(changed.member());
+            auditStateChange(changed.member());
         } else if (effect instanceof MembershipEffect.PauseNoticed paused) {
             audit.add(
                     AuditEvent.Kind.PROCESS,
@@ -344,15 +354,15 @@
                     "");
         } else if (effect instanceof MembershipEffect.Superseded superseded) {
             audit.add(AuditEvent.Kind.PROCESS, settings.name(), "replaced by " + superseded.successor(), "", "");
-            onSuperseded.run();
+            supersededListener.run();
         }
         publishView();
         List<Member> members = view;
         membershipListeners.forEach(listener -> listener.changed(effect, membership.self(), members));
     }
 
-    private void audit(Member member) {
-        MemberState before = states.put(member.name(), member.state());
+    private void auditStateChange(Member member) {
+        MemberState before = lastStates.put(member.name(), member.state());
         if (before != member.state()) {
             audit.add(
                     AuditEvent.Kind.MEMBERSHIP,
@@ -371,7 +381,7 @@
         }
     }
 
-    private static InetSocketAddress address(String ipAndPort) {
+    private static InetSocketAddress parseAddress(String ipAndPort) {
         int colon = ipAndPort.lastIndexOf(':');
         return new InetSocketAddress(ipAndPort.substring(0, colon), Integer.parseInt(ipAndPort.substring(colon + 1)));
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/peers/package-info.java
@@ -1,2 +1,2 @@
-/** The other daemons: membership, owners, grants, relayed configuration. */
+/** Membership of the fleet and messages between daemons, used for ownership, grants and configuration relay. */
 package org.dotterelcourse.daemon.peers;
