--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/log/JsonLineFormatter.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/log/JsonLineFormatter.java
@@ -12,42 +12,42 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import org.jboss.logging.MDC;
 
-/** Writes a log record as an object on one line, by a generator of Jackson. */
+/** Formats each log record as a JSON object on one line. */
 final class JsonLineFormatter extends Formatter {
     private final JsonFactory json = new JsonFactory();
 
     @Override
-    public String format(LogRecord entry) {
+    public String format(LogRecord logRecord) {
         StringWriter line = new StringWriter();
         try (JsonGenerator object = json.createGenerator(line)) {
             object.writeStartObject();
-            object.writeStringField("timestamp", entry.getInstant().toString());
-            object.writeNumberField("sequence", entry.getSequenceNumber());
-            object.writeStringField("level", entry.getLevel().getName());
-            object.writeStringField("loggerName", entry.getLoggerName());
-            // The record knows its thread by number only; handlers run on the thread that logs.
+            object.writeStringField("timestamp", logRecord.getInstant().toString());
+            object.writeNumberField("sequence", logRecord.getSequenceNumber());
+            object.writeStringField("level", logRecord.getLevel().getName());
+            object.writeStringField("loggerName", logRecord.getLoggerName());
+            // A record holds only the number of its thread; handlers run on the thread that logs.
             object.writeStringField("threadName", Thread.currentThread().getName());
-            object.writeStringField("message", formatMessage(entry));
+            object.writeStringField("message", formatMessage(logRecord));
             writeContext(object);
-            if (entry.getThrown() != null) {
-                object.writeStringField("stackTrace", stackTrace(entry.getThrown()));
+            if (logRecord.getThrown() != null) {
+                object.writeStringField("stackTrace", stackTrace(logRecord.getThrown()));
             }
             object.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("a line in memory can't be written", e);
+            throw new UncheckedIOException("can't encode a log record as JSON", e);
         }
         return line.append('\n').toString();
     }
 
-    /** What the code that logs has said of its work, such as a request's id and outcome: it holds for its thread. */
+    /** Writes the diagnostic context of the current thread, such as the id and outcome of a request. */
     private static void writeContext(JsonGenerator object) throws IOException {
         Map<String, Object> context = MDC.getMap();
         if (context == null || context.isEmpty()) {
             return;
         }
         object.writeObjectFieldStart("mdc");
-        for (Map.Entry<String, Object> each : context.entrySet()) {
-            object.writeStringField(each.getKey(), String.valueOf(each.getValue()));
+        for (Map.Entry<String, Object> item : context.entrySet()) {
+            object.writeStringField(item.getKey(), String.valueOf(item.getValue()));
         }
         object.writeEndObject();
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/log/JsonLineHandler.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/log/JsonLineHandler.java
@@ -9,12 +9,12 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 
-/** Writes each record as one line, at once and in one call, so that lines of several threads don't mix. */
+/** Writes each log record as one line, immediately and with a single call, so that lines of threads don't interleave. */
 public final class JsonLineHandler extends Handler {
-    private final JsonLineFormatter lines = new JsonLineFormatter();
+    private final JsonLineFormatter formatter = new JsonLineFormatter();
     private final OutputStream output;
 
-    /** Makes a handler that writes to the standard error output. */
+    /** Creates a handler that writes to standard error. */
     public JsonLineHandler() {
         this(new FileOutputStream(FileDescriptor.err));
     }
@@ -24,27 +24,27 @@
     }
 
     @Override
-    public void publish(LogRecord entry) {
-        if (!isLoggable(entry)) {
+    public void publish(LogRecord logRecord) {
+        if (!isLoggable(logRecord)) {
             return;
         }
-        byte[] line = lines.format(entry).getBytes(StandardCharsets.UTF_8);
+        byte[] line = formatter.format(logRecord).getBytes(StandardCharsets.UTF_8);
         synchronized (output) {
             try {
                 output.write(line);
             } catch (IOException e) {
-                reportError("a log line is lost", e, ErrorManager.WRITE_FAILURE);
+                reportError("can't write a log record; it is lost", e, ErrorManager.WRITE_FAILURE);
             }
         }
     }
 
     @Override
     public void flush() {
-        // Nothing is kept back.
+        // Records are written immediately; there is nothing to flush.
     }
 
     @Override
     public void close() {
-        // The output is the process's own.
+        // Standard error belongs to the process and stays open.
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/log/JsonLog.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/log/JsonLog.java
@@ -6,33 +6,35 @@
 import java.util.logging.LogManager;
 
 /**
- * Sets the log up: lines of JSON on the standard error output, from the level INFO on. JBoss Logging and SLF4J write by
- * the JDK's own loggers, and the JDK makes an object of this class to learn their settings.
+ * Configures logging: JSON lines on standard error, at level INFO and above. JBoss Logging and SLF4J are backed by
+ * {@code java.util.logging}, which instantiates this class to read its configuration.
  *
- * <p>A start pays for each class of its log: JBoss's log manager with its properties, its JSON formatter and the second
- * JSON library that this brings took 110 ms of the 400 ms of processor time that a router's main thread needs until it
- * listens, this set-up takes 50 ms (smallest of five starts, classes out of an archive, beside other work).
+ * <p>JBoss LogManager is not used because each class that it loads delays the start: with its properties, its JSON
+ * formatter and the second JSON library that it requires, it took 110 ms of the 400 ms of CPU time that a router's main
+ * thread needs until it listens. This set-up takes 50 ms (minimum of five starts with a class archive on a shared
+ * machine).
  */
 public final class JsonLog {
     /**
-     * The HTTP client writes a stack trace for each connection that breaks, which our own line of that request or call
-     * tells in a word; while a store or a worker is away these traces would be most of the log.
+     * Configuration of {@code java.util.logging}. The HTTP client logs a stack trace for each broken connection, although
+     * the log line of the affected request or call already reports the failure. While a store or a worker is unavailable,
+     * these traces would make up most of the log.
      */
     private static final String SETTINGS = "handlers=org.dotterelcourse.daemon.log.JsonLineHandler\n"
             + ".level=INFO\n"
             + "reactor.netty.http.client.HttpClientConnect.level=SEVERE\n";
 
     /**
-     * Gives the JDK the settings of its loggers.
+     * Applies the configuration to {@code java.util.logging}.
      *
-     * @throws IOException never, since the settings are in memory
+     * @throws IOException never, since the configuration is read from memory
      */
     public JsonLog() throws IOException {
         LogManager.getLogManager()
                 .readConfiguration(new ByteArrayInputStream(SETTINGS.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    /** Chooses this log. It has to come before any class asks for a logger, since a back end is chosen once. */
+    /** Selects this configuration. Must be called before the first logger is created, since the back end is chosen once. */
     public static void choose() {
         System.setProperty("org.jboss.logging.provider", "jdk");
         System.setProperty("java.util.logging.config.class", JsonLog.class.getName());
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/log/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/log/package-info.java
@@ -1,2 +1,2 @@
-/** How log records are written: one line of JSON each. */
+/** Logging in JSON lines. */
 package org.dotterelcourse.daemon.log;
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/log/JsonLineHandlerTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/log/JsonLineHandlerTest.java
@@ -20,11 +20,11 @@
     private final JsonLineHandler handler = new JsonLineHandler(output);
 
     @Test
-    void aRecordIsOneLineThatProgramsCanRead() throws IOException {
-        LogRecord entry = entry("a \"quoted\" text\nof two lines, é");
-        entry.setInstant(Instant.parse("2026-12-03T04:00:00.5Z"));
+    void recordIsWrittenAsOneLineOfValidJson() throws IOException {
+        LogRecord logRecord = newRecord("a \"quoted\" text\nof two lines, é");
+        logRecord.setInstant(Instant.parse("2026-12-03T04:00:00.5Z"));
 
-        handler.publish(entry);
+        handler.publish(logRecord);
 
         String text = output.toString(StandardCharsets.UTF_8);
         assertThat(text.indexOf('\n')).isEqualTo(text.length() - 1);
@@ -39,11 +39,11 @@
     }
 
     @Test
-    void anErrorIsToldWithItsStackTraceInTheSameLine() throws IOException {
-        LogRecord entry = entry("failed");
-        entry.setThrown(new IllegalStateException("the cause"));
+    void exceptionIsWrittenWithItsStackTraceInTheSameLine() throws IOException {
+        LogRecord logRecord = newRecord("failed");
+        logRecord.setThrown(new IllegalStateException("the cause"));
 
-        handler.publish(entry);
+        handler.publish(logRecord);
 
         String text = output.toString(StandardCharsets.UTF_8);
         assertThat(text.lines()).hasSize(1);
@@ -52,19 +52,20 @@
                 .contains("JsonLineHandlerTest");
     }
 
-    // A client asks what became of its request, and the operator searches the logs for its id. It stands in the context
-    // of
-    // the line, and a line without its context tells nobody anything.
+    /**
+     * Guards against losing the diagnostic context: operators search the log for the id of a request, which is only in the
+     * context of its line.
+     */
     @Test
-    void whatTheThreadHasSaidOfItsWorkIsTold() throws IOException {
+    void diagnosticContextOfTheThreadIsWritten() throws IOException {
         MDC.put("request", "id-1");
         MDC.put("status", 503);
         try {
-            handler.publish(entry("request ended"));
+            handler.publish(newRecord("request ended"));
         } finally {
             MDC.clear();
         }
-        handler.publish(entry("another"));
+        handler.publish(newRecord("another"));
 
         List<String> lines = output.toString(StandardCharsets.UTF_8).lines().toList();
         JsonNode context = new ObjectMapper().readTree(lines.get(0)).path("mdc");
@@ -73,9 +74,9 @@
         assertThat(new ObjectMapper().readTree(lines.get(1)).has("mdc")).isFalse();
     }
 
-    private static LogRecord entry(String message) {
-        LogRecord entry = new LogRecord(Level.WARNING, message);
-        entry.setLoggerName("a.logger");
-        return entry;
+    private static LogRecord newRecord(String message) {
+        LogRecord logRecord = new LogRecord(Level.WARNING, message);
+        logRecord.setLoggerName("a.logger");
+        return logRecord;
     }
 }
