--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/AuditEvent.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/AuditEvent.java
@@ -1,39 +1,39 @@
 package org.dotterelcourse.daemon.audit;
 
 /**
- * One change, as the audit trail keeps it.
+ * A change recorded in the audit trail.
  *
- * @param sequence the event's number in this process, from 1
- * @param atMillis when, in milliseconds since 1970
- * @param kind what changed
- * @param subject which one
- * @param cause why
- * @param before what it was, empty if it is new
- * @param after what it is now, empty if it is gone
+ * @param sequence number of the event in this process, starting at 1
+ * @param atMillis time of the change in milliseconds since the Unix epoch
+ * @param kind the kind of object that changed
+ * @param subject name of the object that changed
+ * @param cause reason for the change
+ * @param before state before the change, empty if the object is new
+ * @param after state after the change, empty if the object was removed
  */
 public record AuditEvent(
         long sequence, long atMillis, Kind kind, String subject, String cause, String before, String after) {
-    /** What an event is about. */
+    /** The kind of object that an event is about. */
     public enum Kind {
-        /** The configuration in force, or an entry that was refused. */
+        /** The active configuration, or an entry that was rejected. */
         CONFIGURATION,
-        /** Another daemon. */
+        /** The membership state of another daemon. */
         MEMBERSHIP,
-        /** Who owns a cell or a customer's limit. */
+        /** The owner of a cell or of a customer's limit. */
         OWNERSHIP,
         /** A worker of an upstream. */
         UPSTREAM,
-        /** A data centre whose workers are to get nothing. */
+        /** A data centre whose workers receive no requests. */
         EVACUATION,
-        /** A request that is kept from workers because they crash under it. */
+        /** A request that is no longer dispatched because workers crash while they process it. */
         QUARANTINE,
-        /** How many requests a worker takes in a second. */
+        /** The number of requests per second that a worker accepts. */
         LIMIT,
-        /** A shutdown. */
+        /** The shutdown of this process. */
         DRAINING,
-        /** An order to an engine. */
+        /** An order sent to an engine. */
         ORDER,
-        /** The process itself. */
+        /** This process, for example a pause of it. */
         PROCESS
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/AuditTrail.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/AuditTrail.java
@@ -21,15 +21,18 @@
 import org.jboss.logging.Logger;
 
 /**
- * Keeps the newest changes in memory for the operators' interface, and writes each to the log and, if the settings name
- * one, to a file of JSON lines.
+ * Keeps the most recent changes in memory for the operators' interface, and writes each change to the log and, if
+ * configured, to a file of JSON lines.
  */
 public final class AuditTrail implements Service {
-    /** The name that it is found by. */
+    /** The name under which the kernel registers this service. */
     public static final ServiceName<AuditTrail> NAME = new ServiceName<>("audit", AuditTrail.class);
 
-    /** Two days of 16,000 changes would not fit an entry VM's memory as text; an hour of them (700) does many times. */
-    private static final int KEPT = 10_000;
+    /**
+     * Holds an hour's changes (about 700) many times over. Two days of 16,000 changes would not fit as text into the memory
+     * of an entry VM.
+     */
+    private static final int MAX_EVENTS = 10_000;
 
     private static final Logger LOG = Logger.getLogger(AuditTrail.class);
 
@@ -40,10 +43,10 @@
     private long lastSequence;
 
     /**
-     * Makes an empty trail.
+     * Creates an empty audit trail.
      *
-     * @param clock the wall clock
-     * @param file the path to append to, empty for none
+     * @param clock the wall clock that sets the time of events
+     * @param file path of the audit file to append to, empty for none
      */
     public AuditTrail(Clock clock, String file) {
         this.clock = clock;
@@ -69,32 +72,33 @@
             append("");
             return List.of();
         } catch (UncheckedIOException e) {
-            return List.of(new StartupFailure(NAME.value(), "can't write the audit file " + file + ": " + e.getCause()));
+            return List.of(
+                    new StartupFailure(NAME.value(), "can't write the audit file " + file + ": " + e.getCause()));
         }
     }
 
     @Override
     public void stop() {
-        // Every event was written when it came; there is nothing to flush.
+        // Events are written immediately; there is nothing to flush.
     }
 
     /**
-     * Adds an event.
+     * Records a change. If the audit file can't be written, an error is logged and the event is kept in memory.
      *
-     * @param kind what changed
-     * @param subject which one
-     * @param cause why
-     * @param before what it was, empty if it is new
-     * @param after what it is now, empty if it is gone
+     * @param kind the kind of object that changed
+     * @param subject name of the object that changed
+     * @param cause reason for the change
+     * @param before state before the change, empty if the object is new
+     * @param after state after the change, empty if the object was removed
      */
     public synchronized void add(AuditEvent.Kind kind, String subject, String cause, String before, String after) {
         lastSequence++;
         AuditEvent event = new AuditEvent(lastSequence, clock.millis(), kind, subject, cause, before, after);
         events.addLast(event);
-        if (events.size() > KEPT) {
+        if (events.size() > MAX_EVENTS) {
             events.removeFirst();
         }
-        String line = line(event);
+        String line = toJson(event);
         LOG.info("audit " + line);
         if (!file.isEmpty()) {
             appendOrLog(line);
@@ -102,18 +106,18 @@
     }
 
     /**
-     * The events that are still in memory.
+     * Returns the events after a sequence number, as far as they are still in memory.
      *
-     * @param sequence only those with a higher sequence number
+     * @param sequence the sequence number that returned events must exceed
      * @return the events, oldest first
      */
     public synchronized List<AuditEvent> eventsAfter(long sequence) {
         return events.stream().filter(event -> event.sequence() > sequence).toList();
     }
 
-    private String line(AuditEvent event) {
-        StringWriter line = new StringWriter();
-        try (JsonGenerator object = json.createGenerator(line)) {
+    private String toJson(AuditEvent event) {
+        StringWriter buffer = new StringWriter();
+        try (JsonGenerator object = json.createGenerator(buffer)) {
             object.writeStartObject();
             object.writeNumberField("sequence", event.sequence());
             object.writeNumberField("atMillis", event.atMillis());
@@ -124,17 +128,17 @@
             object.writeStringField("after", event.after());
             object.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("a line in memory can't be written", e);
+            throw new UncheckedIOException("can't encode an audit event as JSON", e);
         }
-        return line.toString();
+        return buffer.toString();
     }
 
-    /** A full or lost disk must not stop the daemon: the event is in the log and in memory all the same. */
+    /** Logs a write error: a full or failed disk must not stop the daemon, and the event is in the log and in memory. */
     private void appendOrLog(String line) {
         try {
             append(line + "\n");
         } catch (UncheckedIOException e) {
-            LOG.error("the audit file can't be written: " + file, e);
+            LOG.error("can't write to the audit file; the event is only in the log and in memory: " + file, e);
         }
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/audit/package-info.java
@@ -1,2 +1,2 @@
-/** The audit trail: what changed, why, from what to what. */
+/** Audit trail of state changes with their cause and the states before and after. */
 package org.dotterelcourse.daemon.audit;
