--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/BoundedBodyCollector.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/BoundedBodyCollector.java
@@ -8,43 +8,43 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Collects a body up to a bound. A sender without end would otherwise fill the memory of an entry VM, and every caller
- * of it would lose its request; with the bound one request fails.
+ * Collects the body of a request or response up to a maximum length. Without the limit, a body of unlimited length would
+ * exhaust the memory of an entry VM and fail the requests of all its callers; with it, only one request fails.
  */
 public final class BoundedBodyCollector {
     private final int maxBytes;
 
     /**
-     * Makes a collector.
+     * Creates a collector, which can be used for any number of bodies.
      *
-     * @param maxBytes the longest body that is taken
+     * @param maxBytes maximum length of a body in bytes
      */
     public BoundedBodyCollector(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /**
-     * Collects.
+     * Collects a body.
      *
-     * @param content the body's parts, released by their sender
-     * @return the whole body; {@link TooLargeException} as soon as it is longer than the bound
+     * @param content the buffers of the body; they are copied and must be released by the publisher
+     * @return the complete body; fails with {@link TooLargeException} as soon as the length exceeds the limit
      */
     public Mono<byte[]> collect(Flux<ByteBuf> content) {
         return content.collect(ByteArrayOutputStream::new, this::append).map(ByteArrayOutputStream::toByteArray);
     }
 
-    private void append(ByteArrayOutputStream body, ByteBuf part) {
-        if (body.size() + part.readableBytes() > maxBytes) {
+    private void append(ByteArrayOutputStream body, ByteBuf buffer) {
+        if (body.size() + buffer.readableBytes() > maxBytes) {
             throw new TooLargeException(maxBytes);
         }
-        byte[] bytes = ByteBufUtil.getBytes(part);
+        byte[] bytes = ByteBufUtil.getBytes(buffer);
         body.write(bytes, 0, bytes.length);
     }
 
-    /** The body is longer than the bound. */
+    /** Signals that a body is longer than the limit. */
     public static final class TooLargeException extends RuntimeException {
         TooLargeException(int maxBytes) {
-            super("longer than " + maxBytes + " bytes", null, false, false);
+            super("body exceeds the limit of " + maxBytes + " bytes", null, false, false);
         }
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/ProblemDetails.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/ProblemDetails.java
@@ -6,9 +6,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.dotterelcourse.daemon.dispatch.Failure;
 
-/** Writes failures as problem details, after RFC 9457. */
+/** Encodes failures as problem details in JSON (RFC 9457). */
 public final class ProblemDetails {
-    /** The media type. */
+    /** Media type of problem details in JSON. */
     public static final String MEDIA_TYPE = "application/problem+json";
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -16,11 +16,11 @@
     private ProblemDetails() {}
 
     /**
-     * Writes a failure.
+     * Encodes a failure.
      *
-     * @param failure what the caller is told
-     * @param requestId the request's id, empty if it has none
-     * @return JSON
+     * @param failure the failure to report to the caller
+     * @param requestId id of the request, empty if it has none
+     * @return the JSON text
      */
     public static String json(Failure failure, String requestId) {
         ObjectNode problem = JSON.createObjectNode();
@@ -42,13 +42,13 @@
     }
 
     /**
-     * When to come back, for the header of that name.
+     * Returns the value of the {@code Retry-After} header for a failure.
      *
-     * @param failure what the caller is told, with a time to come back
-     * @return whole seconds, rounded up, at least 1
+     * @param failure the failure to report to the caller, with a retry delay
+     * @return the delay in whole seconds, rounded up, at least 1
      */
     public static long retryAfterSeconds(Failure failure) {
-        long second = TimeUnit.SECONDS.toNanos(1);
-        return Math.max(1, (failure.retryAfterNanos() + second - 1) / second);
+        long secondNanos = TimeUnit.SECONDS.toNanos(1);
+        return Math.max(1, (failure.retryAfterNanos() + secondNanos - 1) / secondNanos);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/package-info.java
@@ -1,2 +1,2 @@
-/** What the HTTP sides share. */
+/** Helpers shared by the HTTP endpoints. */
 package org.dotterelcourse.daemon.http;
