--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestEndListener.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestEndListener.java
@@ -2,14 +2,14 @@
 
 import org.dotterelcourse.daemon.dispatch.Outcome;
 
-/** Hears once how a request ended. */
+/** Is notified once when a request has ended. */
 @FunctionalInterface
 public interface RequestEndListener {
     /**
-     * The request has ended.
+     * Called when the request has ended.
      *
-     * @param outcome what its caller was told
-     * @param outputTokens tokens of the answer that its caller was sent
+     * @param outcome the outcome reported to the caller
+     * @param outputTokens number of output tokens sent to the caller
      */
     void ended(Outcome outcome, int outputTokens);
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
@@ -14,9 +14,9 @@
 import org.jboss.logging.Logger;
 import org.jboss.logging.MDC;
 
-/** Counts requests by class and outcome, times them, and writes one log line for each. */
+/** Records the number, outcome and duration of requests per request class, and writes one log line per request. */
 public final class RequestMetrics implements Service {
-    /** The name that it is found by. */
+    /** The name under which the kernel registers this service. */
     public static final ServiceName<RequestMetrics> NAME = new ServiceName<>("metrics", RequestMetrics.class);
 
     private static final Logger LOG = Logger.getLogger("org.dotterelcourse.requests");
@@ -40,11 +40,11 @@
 
     @Override
     public void stop() {
-        // Nothing runs.
+        // Holds no threads or connections.
     }
 
     /**
-     * The registry that every metric of the daemon is in.
+     * Returns the registry of all metrics of the daemon.
      *
      * @return the registry
      */
@@ -53,27 +53,27 @@
     }
 
     /**
-     * Watches a request.
+     * Starts to track a request.
      *
-     * @param id its id
-     * @param customer the customer's name
-     * @param requestClass its class
-     * @param arrivalNanos when it came
-     * @param ended to be told once how it ended
-     * @return the watch
+     * @param id id of the request
+     * @param customer name of the customer
+     * @param requestClass class of the request
+     * @param arrivalNanos arrival time of the request, in nanoseconds of {@link System#nanoTime()}
+     * @param endListener notified once when the request has ended
+     * @return the tracker of the request
      */
     public RequestTracker track(
-            String id, String customer, RequestClass requestClass, long arrivalNanos, RequestEndListener ended) {
-        return new RequestTracker(this, id, customer, requestClass, arrivalNanos, ended);
+            String id, String customer, RequestClass requestClass, long arrivalNanos, RequestEndListener endListener) {
+        return new RequestTracker(this, id, customer, requestClass, arrivalNanos, endListener);
     }
 
     /**
-     * Counts and logs a request that was refused before it could ask for a worker.
+     * Counts and logs a request that was rejected before it was dispatched to a worker.
      *
-     * @param id its id
-     * @param customer the customer's name, empty if it is not known
-     * @param requestClass its class, empty if it is not known
-     * @param failure what its caller is told
+     * @param id id of the request
+     * @param customer name of the customer, empty if unknown
+     * @param requestClass name of the request class, empty if unknown
+     * @param failure the failure reported to the caller
      */
     public void recordRefusal(String id, String customer, String requestClass, Failure failure) {
         registry.counter("refused." + failure.status()).inc();
@@ -91,28 +91,28 @@
         MDC.clear();
     }
 
-    void ended(RequestTracker request, Outcome outcome, String reason) {
+    void recordEnd(RequestTracker request, Outcome outcome, String reason) {
         String prefix = "class." + request.requestClass() + ".";
         registry.counter(prefix + "outcome." + outcome.word()).inc();
         boolean answered = outcome instanceof Outcome.Answered;
-        boolean attained = answered && request.attained();
-        registry.counter(prefix + (attained ? "attained" : "missed")).inc();
+        boolean targetsMet = answered && request.metTargets();
+        registry.counter(prefix + (targetsMet ? "attained" : "missed")).inc();
         registry.counter(prefix + "tokens").inc(request.tokens());
-        if (request.firstNanos() >= 0) {
-            registry.timer(prefix + "first").update(request.firstNanos(), TimeUnit.NANOSECONDS);
+        if (request.firstOutputNanos() >= 0) {
+            registry.timer(prefix + "first").update(request.firstOutputNanos(), TimeUnit.NANOSECONDS);
         }
         registry.timer(prefix + "duration").update(request.durationNanos(), TimeUnit.NANOSECONDS);
-        log(request, outcome, reason, attained);
+        log(request, outcome, reason, targetsMet);
     }
 
-    private static void log(RequestTracker request, Outcome outcome, String reason, boolean attained) {
+    private static void log(RequestTracker request, Outcome outcome, String reason, boolean targetsMet) {
         MDC.put("requestId", request.id());
         MDC.put("class", request.requestClass());
         MDC.put("customer", request.customer());
         MDC.put("worker", request.worker());
         MDC.put("outcome", outcome.word());
         MDC.put("reason", reason);
-        MDC.put("attained", attained);
+        MDC.put("attained", targetsMet);
         MDC.put("tokens", request.tokens());
         MDC.put("durationMillis", TimeUnit.NANOSECONDS.toMillis(request.durationNanos()));
         LOG.info("request");
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestTracker.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestTracker.java
@@ -12,23 +12,23 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Watches one request from its arrival to its end, and hands what was seen to {@link RequestMetrics} exactly once, also
- * when its caller goes away.
+ * Tracks one request from its arrival to its end and reports it to {@link RequestMetrics} exactly once, even if the
+ * caller cancels it.
  */
 public final class RequestTracker implements WorkerListener {
-    /** The share of intervals between tokens that may be over the target: 95 in 100 are to be within. */
-    private static final double LATE_INTERVALS_ALLOWED = 0.05;
+    /** Share of token intervals that may exceed the target of the request class: 95 % must be within it. */
+    private static final double MAX_LATE_INTERVAL_SHARE = 0.05;
 
     private final RequestMetrics metrics;
     private final String id;
     private final String customer;
     private final RequestClass requestClass;
     private final long arrivalNanos;
-    private final RequestEndListener listener;
+    private final RequestEndListener endListener;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile String worker = "";
-    private long firstNanos = -1;
-    private long lastNanos;
+    private long firstOutputNanos = -1;
+    private long lastTokenNanos;
     private int tokens;
     private int lateIntervals;
 
@@ -38,33 +38,33 @@
             String customer,
             RequestClass requestClass,
             long arrivalNanos,
-            RequestEndListener listener) {
+            RequestEndListener endListener) {
         this.metrics = metrics;
         this.id = id;
         this.customer = customer;
         this.requestClass = requestClass;
         this.arrivalNanos = arrivalNanos;
-        this.listener = listener;
+        this.endListener = endListener;
     }
 
     /**
-     * Watches an answer in pieces.
+     * Tracks a streamed answer.
      *
-     * @param events the answer's events
-     * @return the same events
+     * @param events events of the answer
+     * @return the same events, to be subscribed to instead
      */
     public Flux<AnswerEvent> track(Flux<AnswerEvent> events) {
-        return events.doOnNext(this::saw).doOnCancel(() -> end(new Outcome.Unknown(), "cancelled"));
+        return events.doOnNext(this::handle).doOnCancel(() -> end(new Outcome.Unknown(), "cancelled"));
     }
 
     /**
-     * Watches a plain service's answer.
+     * Tracks the answer of a plain service, which arrives as a whole.
      *
      * @param answer the answer
-     * @return the same answer
+     * @return the same answer, to be subscribed to instead
      */
     public Mono<ServiceAnswer> track(Mono<ServiceAnswer> answer) {
-        return answer.doOnNext(this::saw).doOnCancel(() -> end(new Outcome.Unknown(), "cancelled"));
+        return answer.doOnNext(this::handle).doOnCancel(() -> end(new Outcome.Unknown(), "cancelled"));
     }
 
     @Override
@@ -72,9 +72,9 @@
         worker = name;
     }
 
-    private void saw(AnswerEvent event) {
+    private void handle(AnswerEvent event) {
         if (event instanceof AnswerEvent.Piece) {
-            sawToken(System.nanoTime());
+            recordToken(System.nanoTime());
         } else if (event instanceof AnswerEvent.Finished) {
             end(new Outcome.Answered(), "");
         } else {
@@ -83,29 +83,29 @@
         }
     }
 
-    private void saw(ServiceAnswer answer) {
+    private void handle(ServiceAnswer answer) {
         if (answer instanceof ServiceAnswer.Failed failed) {
             end(failed.failure().outcome(), failed.failure().title());
             return;
         }
-        firstNanos = System.nanoTime() - arrivalNanos;
+        firstOutputNanos = System.nanoTime() - arrivalNanos;
         end(new Outcome.Answered(), "");
     }
 
-    private void sawToken(long nowNanos) {
+    private void recordToken(long nowNanos) {
         tokens++;
-        if (firstNanos < 0) {
-            firstNanos = nowNanos - arrivalNanos;
-        } else if (nowNanos - lastNanos > TimeUnit.MILLISECONDS.toNanos(requestClass.tokenIntervalMillis())) {
+        if (firstOutputNanos < 0) {
+            firstOutputNanos = nowNanos - arrivalNanos;
+        } else if (nowNanos - lastTokenNanos > TimeUnit.MILLISECONDS.toNanos(requestClass.tokenIntervalMillis())) {
             lateIntervals++;
         }
-        lastNanos = nowNanos;
+        lastTokenNanos = nowNanos;
     }
 
     private void end(Outcome outcome, String reason) {
         if (ended.compareAndSet(false, true)) {
-            listener.ended(outcome, tokens);
-            metrics.ended(this, outcome, reason);
+            endListener.ended(outcome, tokens);
+            metrics.recordEnd(this, outcome, reason);
         }
     }
 
@@ -117,7 +117,7 @@
         return customer;
     }
 
-    /** The worker that it was sent to last, empty if to none. */
+    /** Returns the worker to which the request was sent last, empty if it was not sent. */
     String worker() {
         return worker;
     }
@@ -126,8 +126,9 @@
         return requestClass.name();
     }
 
-    long firstNanos() {
-        return firstNanos;
+    /** Returns the time from arrival to the first output in nanoseconds, -1 if there was none. */
+    long firstOutputNanos() {
+        return firstOutputNanos;
     }
 
     long durationNanos() {
@@ -138,8 +139,10 @@
         return tokens;
     }
 
-    boolean attained() {
-        boolean inTime = firstNanos >= 0 && firstNanos <= TimeUnit.MILLISECONDS.toNanos(requestClass.targetMillis());
-        return inTime && lateIntervals <= tokens * LATE_INTERVALS_ALLOWED;
+    /** Returns whether the first output and the token intervals met the latency targets of the request class. */
+    boolean metTargets() {
+        boolean firstOutputInTime =
+                firstOutputNanos >= 0 && firstOutputNanos <= TimeUnit.MILLISECONDS.toNanos(requestClass.targetMillis());
+        return firstOutputInTime && lateIntervals <= tokens * MAX_LATE_INTERVAL_SHARE;
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counts and times of requests, for operators. */
+/** Request metrics for operators. */
 package org.dotterelcourse.daemon.metrics;
