--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
@@ -173,7 +173,7 @@
      * @param nowNanos the time
      * @return what to do
      */
-    public List<ClientEffect> on(String from, GrantMessage.ToAsker message, long nowNanos) {
+    public List<ClientEffect> on(String from, GrantMessage.ToClient message, long nowNanos) {
         List<ClientEffect> effects = new ArrayList<>();
         if (message.life() != life) {
             return effects;
@@ -233,7 +233,7 @@
         return book.asks().size();
     }
 
-    private void onOwner(boolean inTerm, GrantMessage.ToAsker message, long nowNanos, List<ClientEffect> effects) {
+    private void onOwner(boolean inTerm, GrantMessage.ToClient message, long nowNanos, List<ClientEffect> effects) {
         link.answered(message, nowNanos, effects);
         if (local.active()) {
             local.leave(nowNanos, effects);
@@ -264,7 +264,7 @@
 
     private void onGranted(
             String from,
-            GrantMessage.ToAsker message,
+            GrantMessage.ToClient message,
             GrantMessage.Granted granted,
             long nowNanos,
             List<ClientEffect> effects) {
@@ -284,7 +284,7 @@
         effects.add(new ClientEffect.Granted(ask.number(), ask.grant(), ask.worker()));
     }
 
-    private boolean wanted(ClientAsk ask, String from, GrantMessage.ToAsker message, GrantMessage.Granted granted) {
+    private boolean wanted(ClientAsk ask, String from, GrantMessage.ToClient message, GrantMessage.Granted granted) {
         boolean waitsThere = ask.waits() && ask.state() != ClientAsk.State.LOCAL;
         return waitsThere && link.inTerm(from, message) && !ask.wasReturned(granted.grant());
     }
@@ -300,7 +300,7 @@
     }
 
     private void onRenewed(
-            GrantMessage.ToAsker message, GrantMessage.Renewed renewed, long nowNanos, List<ClientEffect> effects) {
+            GrantMessage.ToClient message, GrantMessage.Renewed renewed, long nowNanos, List<ClientEffect> effects) {
         boolean grantsUnknown = false;
         Set<Long> unknown = new HashSet<>(renewed.unknown());
         for (Long number : unknown) {
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
@@ -164,8 +164,8 @@
      * @param owner who owns it, as far as is known; else empty
      * @return the answer
      */
-    public static GrantMessage.ToAsker notOwner(GrantMessage.ToOwner message, String owner) {
-        return new GrantMessage.ToAsker(
+    public static GrantMessage.ToClient notOwner(GrantMessage.ToOwner message, String owner) {
+        return new GrantMessage.ToClient(
                 message.cell(), message.life(), 0, message.stampNanos(), 0, new GrantMessage.NotOwner(owner));
     }
 
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantCodec.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantCodec.java
@@ -4,7 +4,7 @@
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
-import org.dotterelcourse.coordination.grant.GrantMessage.ToAsker;
+import org.dotterelcourse.coordination.grant.GrantMessage.ToClient;
 import org.dotterelcourse.coordination.grant.GrantMessage.ToOwner;
 import org.dotterelcourse.coordination.grant.generated.GrantProtos;
 import org.dotterelcourse.coordination.grant.generated.GrantProtos.GrantPacket;
@@ -41,7 +41,7 @@
         if (message instanceof ToOwner request) {
             packet.setLife(request.life()).setStampNanos(request.stampNanos());
             GrantRequests.write(request.body(), packet);
-        } else if (message instanceof ToAsker reply) {
+        } else if (message instanceof ToClient reply) {
             packet.setLife(reply.life()).setTerm(reply.term());
             packet.setStampNanos(reply.stampNanos()).setSinceStampNanos(reply.sinceStampNanos());
             writeReply(reply.body(), packet);
@@ -69,7 +69,7 @@
             return new Decoded.Message(new ToOwner(
                     packet.getCell(), packet.getLife(), packet.getStampNanos(), GrantRequests.read(packet)));
         }
-        return new Decoded.Message(new ToAsker(
+        return new Decoded.Message(new ToClient(
                 packet.getCell(),
                 packet.getLife(),
                 packet.getTerm(),
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantMessage.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantMessage.java
@@ -35,7 +35,7 @@
      * @param sinceStampNanos how long before sending that stamp arrived, in nanoseconds
      * @param body what is said
      */
-    record ToAsker(String cell, long life, long term, long stampNanos, long sinceStampNanos, Reply body)
+    record ToClient(String cell, long life, long term, long stampNanos, long sinceStampNanos, Reply body)
             implements GrantMessage {}
 
     /** What an asker says. */
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerEffect.java
@@ -8,7 +8,7 @@
      * @param to the asker's member name
      * @param message the message
      */
-    record Send(String to, GrantMessage.ToAsker message) implements OwnerEffect {}
+    record Send(String to, GrantMessage.ToClient message) implements OwnerEffect {}
 
     /**
      * A lease ended without a release, for the audit trail and the metrics.
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerLedger.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerLedger.java
@@ -185,7 +185,7 @@
     }
 
     void send(OwnerSession session, GrantMessage.Reply reply, long nowNanos, List<OwnerEffect> effects) {
-        GrantMessage.ToAsker message = new GrantMessage.ToAsker(
+        GrantMessage.ToClient message = new GrantMessage.ToClient(
                 cell, session.life(), term, session.stampNanos(), session.sinceStampNanos(nowNanos), reply);
         effects.add(new OwnerEffect.Send(session.asker(), message));
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerLink.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerLink.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether the message is from the term that has confirmed our registration. */
-    boolean inTerm(String from, GrantMessage.ToAsker message) {
+    boolean inTerm(String from, GrantMessage.ToClient message) {
         return isOwner(from) && registeredTerm != NO_TERM && message.term() == registeredTerm;
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** Notes an answer from the current owner, and registers with it if it doesn't know us. */
-    void answered(GrantMessage.ToAsker message, long nowNanos, List<ClientEffect> effects) {
+    void answered(GrantMessage.ToClient message, long nowNanos, List<ClientEffect> effects) {
         unansweredSinceNanos = NOTHING_UNANSWERED;
         if (message.body() instanceof GrantMessage.Registered registered) {
             confirmed(message.term(), registered);
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Loop.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Loop.java
@@ -129,7 +129,7 @@
                 int asker = Integer.parseInt(send.to());
                 byte[] body = encode(send.message());
                 queue.add(() ->
-                        perform(asker, clients.get(asker).on(ownerName, (GrantMessage.ToAsker) decode(body), now)));
+                        perform(asker, clients.get(asker).on(ownerName, (GrantMessage.ToClient) decode(body), now)));
             }
         }
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
@@ -116,7 +116,7 @@
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         on("owner", new GrantMessage.Queued(ask), 10, 0);
 
-        var answer = new GrantMessage.ToAsker("cell", LIFE, TERM + 1, 10, 0, new GrantMessage.Queued(ask));
+        var answer = new GrantMessage.ToClient("cell", LIFE, TERM + 1, 10, 0, new GrantMessage.Queued(ask));
         List<ClientEffect> effects = client.on("owner", answer, 20);
 
         assertThat(effects)
@@ -190,8 +190,8 @@
         return client.on(from, message(reply, stamp, since), stamp + since);
     }
 
-    private static GrantMessage.ToAsker message(GrantMessage.Reply reply, long stamp, long since) {
-        return new GrantMessage.ToAsker("cell", LIFE, TERM, stamp, since, reply);
+    private static GrantMessage.ToClient message(GrantMessage.Reply reply, long stamp, long since) {
+        return new GrantMessage.ToClient("cell", LIFE, TERM, stamp, since, reply);
     }
 
     private static GrantMessage.Granted granted(long ask, GrantId grant) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantCodecTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantCodecTest.java
@@ -50,6 +50,6 @@
     }
 
     private static GrantMessage reply(GrantMessage.Reply body) {
-        return new GrantMessage.ToAsker("sabla-llm/0", 4, 9, 77, 3, body);
+        return new GrantMessage.ToClient("sabla-llm/0", 4, 9, 77, 3, body);
     }
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
@@ -148,7 +148,7 @@
 
     private void handle(LossyWire.Packet packet) {
         GrantMessage message = ((GrantCodec.Decoded.Message) GrantCodec.decode(packet.body())).message();
-        if (message instanceof GrantMessage.ToAsker reply) {
+        if (message instanceof GrantMessage.ToClient reply) {
             perform(client.on(packet.from(), reply, clock()));
         } else if (message instanceof GrantMessage.ToOwner request && owner != null) {
             performOwner(owner.on(packet.from(), request, clock()));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -177,7 +177,7 @@
     }
 
     void received(String from, GrantMessage message, long nowNanos) {
-        if (message instanceof GrantMessage.ToAsker toAsker) {
+        if (message instanceof GrantMessage.ToClient toAsker) {
             client(client.on(from, toAsker, nowNanos), nowNanos);
         } else if (message instanceof GrantMessage.ToOwner toOwner) {
             if (owned == null) {
