--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
@@ -127,7 +127,7 @@
      * @param nowNanos the time
      * @return what to do
      */
-    public List<OwnerEffect> askerGone(String asker, long nowNanos) {
+    public List<OwnerEffect> onClientDead(String asker, long nowNanos) {
         List<OwnerEffect> effects = new ArrayList<>();
         awaited.remove(asker);
         if (!resigned) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -138,7 +138,7 @@
 
     void askerGone(String member, long nowNanos) {
         if (owned != null) {
-            owner(owned.askerGone(member, nowNanos), nowNanos);
+            owner(owned.onClientDead(member, nowNanos), nowNanos);
         }
     }
 
