--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
@@ -361,7 +361,7 @@
          * @param askers their member names
          * @return this
          */
-        public Builder expectedAskers(Set<String> askers) {
+        public Builder expectedClients(Set<String> askers) {
             expected = Set.copyOf(askers);
             return this;
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellOwnerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellOwnerTest.java
@@ -60,7 +60,7 @@
     /** A new owner knows nothing of what the old one granted. Granting at once, it would fill busy workers again. */
     @Test
     void aNewOwnerGrantsOnceEveryExpectedAskerHasRegistered() {
-        CellOwner owner = builder(1).expectedAskers(Set.of("a", "b")).takeOver(0);
+        CellOwner owner = builder(1).expectedClients(Set.of("a", "b")).takeOver(0);
         assertThat(ask(owner, "a", 1, 1, 1)).containsExactly(new GrantMessage.Queued(1));
         on(owner, "a", 1, new GrantMessage.Reregister(1, 0, 1, List.of(), List.of()), 2);
         assertThat(owner.settled()).isFalse();
@@ -79,7 +79,7 @@
     /** An expected asker is silent. The cell must not wait for it for good. */
     @Test
     void aNewOwnerGrantsAfterTheSettleTimeAtTheLatest() {
-        CellOwner owner = builder(1).expectedAskers(Set.of("a", "silent")).takeOver(0);
+        CellOwner owner = builder(1).expectedClients(Set.of("a", "silent")).takeOver(0);
         ask(owner, "a", 1, 1, 900);
 
         assertThat(replies(owner.advance(999))).isEmpty();
@@ -90,7 +90,7 @@
     /** The parts of a large registration arrive in any order. The last number alone doesn't mean that all are there. */
     @Test
     void anAskerHasRegisteredOnlyWhenAllPartsAreThere() {
-        CellOwner owner = builder(1).expectedAskers(Set.of("a")).takeOver(0);
+        CellOwner owner = builder(1).expectedClients(Set.of("a")).takeOver(0);
         on(owner, "a", 1, new GrantMessage.Reregister(1, 1, 2, List.of(), List.of()), 1);
         on(owner, "a", 1, new GrantMessage.Reregister(1, 1, 2, List.of(), List.of()), 2);
         assertThat(owner.settled()).isFalse();
@@ -116,7 +116,7 @@
     }
 
     private static CellOwner settled(int places) {
-        CellOwner owner = builder(places).expectedAskers(Set.of()).takeOver(0);
+        CellOwner owner = builder(places).expectedClients(Set.of()).takeOver(0);
         owner.advance(0);
         return owner;
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -132,7 +132,7 @@
         ownedArbiter.workers(published.infos(), nowNanos);
         owned = CellOwner.builder(key, ownedArbiter, random)
                 .settings(settings)
-                .expectedAskers(askers)
+                .expectedClients(askers)
                 .takeOver(nowNanos);
     }
 
