--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
@@ -99,7 +99,7 @@
      * @param nowNanos the time
      * @return the verdict; {@link GrantCheck.Usable} at most once for each ask
      */
-    public GrantCheck mayUse(long ask, long nowNanos) {
+    public GrantCheck tryUse(long ask, long nowNanos) {
         ClientAsk found = book.find(ask);
         if (found == null || found.state() != ClientAsk.State.GRANTED || found.used()) {
             return new GrantCheck.NotHeld();
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/ClientEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/ClientEffect.java
@@ -21,7 +21,7 @@
     record Send(String to, GrantMessage.ToOwner message) implements ClientEffect {}
 
     /**
-     * The request has a worker. Call {@link CellClient#mayUse} right before it is sent.
+     * The request has a worker. Call {@link CellClient#tryUse} right before it is sent.
      *
      * @param ask the ask's number
      * @param grant the grant
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Loop.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Loop.java
@@ -71,7 +71,7 @@
     }
 
     void release(int asker, long ask) {
-        clients.get(asker).mayUse(ask, now);
+        clients.get(asker).tryUse(ask, now);
         perform(asker, clients.get(asker).release(ask, OBSERVATION, now));
         deliver();
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
@@ -33,11 +33,11 @@
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         on("owner", granted(ask, GRANT), 10, 5);
 
-        GrantCheck check = client.mayUse(ask, 315);
+        GrantCheck check = client.tryUse(ask, 315);
 
         assertThat(((GrantCheck.LeaseExpired) check).effects())
                 .anyMatch(effect -> sent(effect) instanceof GrantMessage.Release);
-        assertThat(client.mayUse(ask, 315)).isInstanceOf(GrantCheck.NotHeld.class);
+        assertThat(client.tryUse(ask, 315)).isInstanceOf(GrantCheck.NotHeld.class);
     }
 
     /** A grant is under way for long. Its lease counts from when the owner gave it, not from when it arrives. */
@@ -46,8 +46,8 @@
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         client.on("owner", message(granted(ask, GRANT), 10, 5), 310);
 
-        assertThat(client.mayUse(ask, 314)).isInstanceOf(GrantCheck.Usable.class);
-        assertThat(client.mayUse(ask, 314)).isInstanceOf(GrantCheck.NotHeld.class);
+        assertThat(client.tryUse(ask, 314)).isInstanceOf(GrantCheck.Usable.class);
+        assertThat(client.tryUse(ask, 314)).isInstanceOf(GrantCheck.NotHeld.class);
     }
 
     @Test
@@ -55,7 +55,7 @@
         long ask = client.ask(0, 50, NONE, 10).ask();
         on("owner", granted(ask, GRANT), 10, 0);
 
-        assertThat(client.mayUse(ask, 50)).isInstanceOf(GrantCheck.DeadlinePassed.class);
+        assertThat(client.tryUse(ask, 50)).isInstanceOf(GrantCheck.DeadlinePassed.class);
     }
 
     /** Two owners grant the same ask. Used both, the request would run twice. */
@@ -99,7 +99,7 @@
     void aPreemptedRequestIsToldOnceAndIsNotRenewed() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         on("owner", granted(ask, GRANT), 10, 0);
-        client.mayUse(ask, 11);
+        client.tryUse(ask, 11);
         GrantMessage.Preempted preempted = new GrantMessage.Preempted(ask, GRANT);
 
         assertThat(on("owner", preempted, 10, 0)).containsExactly(new ClientEffect.Preempted(ask, GRANT));
@@ -157,7 +157,7 @@
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         assertThat(client.advance(50)).noneMatch(ClientEffect.Granted.class::isInstance);
         assertThat(client.advance(80)).contains(new ClientEffect.LocalMode(true));
-        assertThat(client.mayUse(ask, 81)).isEqualTo(new GrantCheck.Usable("llm-9"));
+        assertThat(client.tryUse(ask, 81)).isEqualTo(new GrantCheck.Usable("llm-9"));
         long waiting = client.ask(82, 10_000, NONE, 82).ask();
 
         List<ClientEffect> back = on("owner", new GrantMessage.Renewed(300, List.of()), 82, 0);
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
@@ -163,10 +163,10 @@
                 continue;
             }
             useAt.remove(ask);
-            GrantCheck check = client.mayUse(ask, clock());
+            GrantCheck check = client.tryUse(ask, clock());
             FleetRequest request = asks.get(ask);
             if (check instanceof GrantCheck.Usable usable) {
-                assertThat(client.mayUse(ask, clock())).isInstanceOf(GrantCheck.NotHeld.class);
+                assertThat(client.tryUse(ask, clock())).isInstanceOf(GrantCheck.NotHeld.class);
                 assertThat(fleet.expired).as("leases that ended").doesNotContain(grants.get(ask));
                 fleet.started(request, usable.worker());
                 endsAt.put(ask, fleet.now + request.durationNanos);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -158,7 +158,7 @@
     }
 
     boolean mayUse(long ask, long nowNanos) {
-        GrantCheck check = client.mayUse(ask, nowNanos);
+        GrantCheck check = client.tryUse(ask, nowNanos);
         if (check instanceof GrantCheck.LeaseExpired expired) {
             client(expired.effects(), nowNanos);
         } else if (check instanceof GrantCheck.DeadlinePassed passed) {
