--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
@@ -173,7 +173,7 @@
      * @param nowNanos the time
      * @return what to do
      */
-    public List<ClientEffect> on(String from, GrantMessage.ToClient message, long nowNanos) {
+    public List<ClientEffect> onMessage(String from, GrantMessage.ToClient message, long nowNanos) {
         List<ClientEffect> effects = new ArrayList<>();
         if (message.life() != life) {
             return effects;
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
@@ -66,7 +66,7 @@
      * @param nowNanos the time
      * @return what to do
      */
-    public List<OwnerEffect> on(String from, GrantMessage.ToOwner message, long nowNanos) {
+    public List<OwnerEffect> onMessage(String from, GrantMessage.ToOwner message, long nowNanos) {
         List<OwnerEffect> effects = new ArrayList<>();
         if (resigned) {
             effects.add(new OwnerEffect.Send(from, notOwner(message, successor)));
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Loop.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Loop.java
@@ -116,7 +116,7 @@
             if (effect instanceof ClientEffect.Send send) {
                 byte[] body = encode(send.message());
                 queue.add(() ->
-                        performOwner(owner.on(Integer.toString(asker), (GrantMessage.ToOwner) decode(body), now)));
+                        performOwner(owner.onMessage(Integer.toString(asker), (GrantMessage.ToOwner) decode(body), now)));
             } else if (effect instanceof ClientEffect.Granted grant) {
                 granted.add(grant.ask());
             }
@@ -129,7 +129,7 @@
                 int asker = Integer.parseInt(send.to());
                 byte[] body = encode(send.message());
                 queue.add(() ->
-                        perform(asker, clients.get(asker).on(ownerName, (GrantMessage.ToClient) decode(body), now)));
+                        perform(asker, clients.get(asker).onMessage(ownerName, (GrantMessage.ToClient) decode(body), now)));
             }
         }
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
@@ -44,7 +44,7 @@
     @Test
     void aLeaseEndsNoLaterHereThanAtTheOwnerHoweverLateTheGrantArrives() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
-        client.on("owner", message(granted(ask, GRANT), 10, 5), 310);
+        client.onMessage("owner", message(granted(ask, GRANT), 10, 5), 310);
 
         assertThat(client.tryUse(ask, 314)).isInstanceOf(GrantCheck.Usable.class);
         assertThat(client.tryUse(ask, 314)).isInstanceOf(GrantCheck.NotHeld.class);
@@ -117,7 +117,7 @@
         on("owner", new GrantMessage.Queued(ask), 10, 0);
 
         var answer = new GrantMessage.ToClient("cell", LIFE, TERM + 1, 10, 0, new GrantMessage.Queued(ask));
-        List<ClientEffect> effects = client.on("owner", answer, 20);
+        List<ClientEffect> effects = client.onMessage("owner", answer, 20);
 
         assertThat(effects)
                 .anyMatch(effect -> sent(effect) instanceof GrantMessage.Reregister register
@@ -186,8 +186,8 @@
         assertThat(client.size()).isZero();
     }
 
-    private List<ClientEffect> on(String from, GrantMessage.Reply reply, long stamp, long since) {
-        return client.on(from, message(reply, stamp, since), stamp + since);
+    private List<ClientEffect> onMessage(String from, GrantMessage.Reply reply, long stamp, long since) {
+        return client.onMessage(from, message(reply, stamp, since), stamp + since);
     }
 
     private static GrantMessage.ToClient message(GrantMessage.Reply reply, long stamp, long since) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellOwnerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellOwnerTest.java
@@ -127,7 +127,7 @@
 
     private static List<GrantMessage.Reply> on(
             CellOwner owner, String asker, long life, GrantMessage.Request request, long now) {
-        return replies(owner.on(asker, new GrantMessage.ToOwner("cell", life, now, request), now));
+        return replies(owner.onMessage(asker, new GrantMessage.ToOwner("cell", life, now, request), now));
     }
 
     private static List<GrantMessage.Reply> replies(List<OwnerEffect> effects) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
@@ -149,9 +149,9 @@
     private void handle(LossyWire.Packet packet) {
         GrantMessage message = ((GrantCodec.Decoded.Message) GrantCodec.decode(packet.body())).message();
         if (message instanceof GrantMessage.ToClient reply) {
-            perform(client.on(packet.from(), reply, clock()));
+            perform(client.onMessage(packet.from(), reply, clock()));
         } else if (message instanceof GrantMessage.ToOwner request && owner != null) {
-            performOwner(owner.on(packet.from(), request, clock()));
+            performOwner(owner.onMessage(packet.from(), request, clock()));
         } else if (message instanceof GrantMessage.ToOwner request) {
             send(packet.from(), CellOwner.notOwner(request, ""));
         }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -178,12 +178,12 @@
 
     void received(String from, GrantMessage message, long nowNanos) {
         if (message instanceof GrantMessage.ToClient toAsker) {
-            client(client.on(from, toAsker, nowNanos), nowNanos);
+            client(client.onMessage(from, toAsker, nowNanos), nowNanos);
         } else if (message instanceof GrantMessage.ToOwner toOwner) {
             if (owned == null) {
                 wire.send(from, CellOwner.notOwner(toOwner, ownerName));
             } else {
-                owner(owned.on(from, toOwner, nowNanos), nowNanos);
+                owner(owned.onMessage(from, toOwner, nowNanos), nowNanos);
             }
         }
     }
