--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
@@ -220,7 +220,7 @@
      *
      * @return true in local mode
      */
-    public boolean localMode() {
+    public boolean isLocalMode() {
         return local.active();
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleetTest.java
@@ -96,11 +96,11 @@
             load(fleet, 5);
             fleet.run(100 * MILLI);
         }
-        assertThat(fleet.nodes).allMatch(GrantNode::localMode);
+        assertThat(fleet.nodes).allMatch(GrantNode::isLocalMode);
         assertThat(fleet.mostActive).isBetween(1, GrantFleet.PLACES);
         fleet.publishOwners();
         healsAndDrains(fleet);
-        assertThat(fleet.nodes).noneMatch(GrantNode::localMode);
+        assertThat(fleet.nodes).noneMatch(GrantNode::isLocalMode);
     }
 
     /**
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
@@ -45,8 +45,8 @@
         return client.size();
     }
 
-    boolean localMode() {
-        return client.localMode();
+    boolean isLocalMode() {
+        return client.isLocalMode();
     }
 
     void sees(Optional<String> view, long at) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -78,7 +78,7 @@
         return new CellStatus(
                 key,
                 ownerName,
-                client.localMode(),
+                client.isLocalMode(),
                 client.size(),
                 waiting,
                 held,
