--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleet.java
@@ -20,7 +20,7 @@
     static final long NEVER = Long.MAX_VALUE / 4;
 
     final SplittableRandom random;
-    final LossyWire wire;
+    final LossyNetwork wire;
     final GrantSettings settings;
     final List<GrantNode> nodes = new ArrayList<>();
     final Map<Integer, FleetRequest> requests = new LinkedHashMap<>();
@@ -48,7 +48,7 @@
 
     GrantFleet(long seed, int members, GrantSettings settings, long maxViewDelay) {
         this.random = new SplittableRandom(seed);
-        this.wire = new LossyWire(random);
+        this.wire = new LossyNetwork(random);
         this.settings = settings;
         this.maxViewDelay = maxViewDelay;
         for (int i = 0; i < members; i++) {
@@ -117,7 +117,7 @@
 
     void step() {
         now += STEP;
-        for (LossyWire.Packet packet : wire.arrived(now)) {
+        for (LossyNetwork.Packet packet : wire.arrived(now)) {
             node(packet.to()).receive(packet);
         }
         for (GrantNode node : nodes) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
@@ -20,7 +20,7 @@
     private final Map<Long, GrantId> grants = new HashMap<>();
     private final Map<Long, Long> endsAt = new HashMap<>();
     private final Map<Long, Long> useAt = new HashMap<>();
-    private final List<LossyWire.Packet> inbox = new ArrayList<>();
+    private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
     private long life = 1;
     private long pausedUntil;
     private Optional<String> nextView = Optional.empty();
@@ -93,7 +93,7 @@
         perform(asked.effects());
     }
 
-    void receive(LossyWire.Packet packet) {
+    void receive(LossyNetwork.Packet packet) {
         if (alive) {
             inbox.add(packet);
         }
@@ -118,7 +118,7 @@
         // Of what happens in the same step, what waited for the process to wake up comes first: a grant that it was
         // about to use, before any message that could tell it better.
         use();
-        List<LossyWire.Packet> packets = List.copyOf(inbox);
+        List<LossyNetwork.Packet> packets = List.copyOf(inbox);
         inbox.clear();
         packets.forEach(this::handle);
         if (nextViewAt <= fleet.now) {
@@ -146,7 +146,7 @@
         perform(client.ownerChanged(nextView, clock()));
     }
 
-    private void handle(LossyWire.Packet packet) {
+    private void handle(LossyNetwork.Packet packet) {
         GrantMessage message = ((GrantCodec.Decoded.Message) GrantCodec.decode(packet.body())).message();
         if (message instanceof GrantMessage.ToClient reply) {
             perform(client.onMessage(packet.from(), reply, clock()));
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyWire.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyNetwork.java
@@ -8,7 +8,7 @@
 import java.util.random.RandomGenerator;
 
 /** Carries bytes between members with random loss, duplication, delay (hence reorder) and partition. */
-public final class LossyWire {
+public final class LossyNetwork {
     private final RandomGenerator random;
     private final PriorityQueue<Packet> packets = new PriorityQueue<>();
     private final Map<String, Integer> sides = new HashMap<>();
@@ -22,7 +22,7 @@
      *
      * @param random decides about each packet
      */
-    public LossyWire(RandomGenerator random) {
+    public LossyNetwork(RandomGenerator random) {
         this.random = random;
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
-import org.dotterelcourse.coordination.grant.LossyWire;
+import org.dotterelcourse.coordination.grant.LossyNetwork;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -27,7 +27,7 @@
         private String homeView = "entry-0";
         private LimitClient client;
         private LimitHome home;
-        private final List<LossyWire.Packet> inbox = new ArrayList<>();
+        private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
 
         Node(String name, LimitSettings settings) {
             this.name = name;
@@ -68,7 +68,7 @@
 
     private static final class Fleet {
         private final SplittableRandom random;
-        private final LossyWire wire;
+        private final LossyNetwork wire;
         private final List<Node> nodes = new ArrayList<>();
         private Amount charged = Amount.NOTHING;
         private long now;
@@ -79,7 +79,7 @@
 
         Fleet(long seed, LimitSettings settings) {
             random = new SplittableRandom(seed);
-            wire = new LossyWire(random);
+            wire = new LossyNetwork(random);
             for (int i = 0; i < 4; i++) {
                 nodes.add(new Node("entry-" + i, settings));
             }
@@ -109,7 +109,7 @@
 
         void step(int callsOfAll) {
             now += STEP;
-            for (LossyWire.Packet packet : wire.arrived(now)) {
+            for (LossyNetwork.Packet packet : wire.arrived(now)) {
                 nodes.stream().filter(node -> node.name.equals(packet.to())).forEach(node -> node.inbox.add(packet));
             }
             for (Node node : nodes) {
@@ -126,9 +126,9 @@
         }
 
         void act(Node node) {
-            List<LossyWire.Packet> packets = List.copyOf(node.inbox);
+            List<LossyNetwork.Packet> packets = List.copyOf(node.inbox);
             node.inbox.clear();
-            for (LossyWire.Packet packet : packets) {
+            for (LossyNetwork.Packet packet : packets) {
                 LimitMessage message = ((LimitCodec.Decoded.Message) LimitCodec.decode(packet.body())).message();
                 if (message instanceof LimitMessage.Slices slices) {
                     perform(node, node.client.on(slices, now));
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.dotterelcourse.coordination.MemberId;
-import org.dotterelcourse.coordination.grant.LossyWire;
+import org.dotterelcourse.coordination.grant.LossyNetwork;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -34,7 +34,7 @@
         private final String name;
         private final Map<Long, Ticket> calls = new HashMap<>();
         private final Map<Long, Long> endsAt = new HashMap<>();
-        private final List<LossyWire.Packet> inbox = new ArrayList<>();
+        private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
         private long life;
         private long pausedUntil;
         private TicketMint mint;
@@ -65,7 +65,7 @@
     /** Nodes, callers and the tickets that were made. */
     private static final class Fleet {
         private final SplittableRandom random;
-        private final LossyWire wire;
+        private final LossyNetwork wire;
         private final List<Node> nodes = new ArrayList<>();
         private final List<Ticket> tickets = new ArrayList<>();
         private int spent;
@@ -74,7 +74,7 @@
 
         Fleet(long seed) {
             random = new SplittableRandom(seed);
-            wire = new LossyWire(random);
+            wire = new LossyNetwork(random);
             for (int i = 0; i < 4; i++) {
                 nodes.add(new Node("entry-" + i, random));
             }
@@ -153,7 +153,7 @@
 
         void step() {
             now += 10 * MILLI;
-            for (LossyWire.Packet packet : wire.arrived(now)) {
+            for (LossyNetwork.Packet packet : wire.arrived(now)) {
                 nodes.stream().filter(node -> node.name.equals(packet.to())).forEach(node -> node.inbox.add(packet));
             }
             for (Node node : nodes) {
@@ -164,9 +164,9 @@
         }
 
         void act(Node node) {
-            List<LossyWire.Packet> packets = List.copyOf(node.inbox);
+            List<LossyNetwork.Packet> packets = List.copyOf(node.inbox);
             node.inbox.clear();
-            for (LossyWire.Packet packet : packets) {
+            for (LossyNetwork.Packet packet : packets) {
                 TicketMessage message = ((TicketCodec.Decoded.Message) TicketCodec.decode(packet.body())).message();
                 perform(node, node.desk.on(packet.from(), message, now));
             }
