--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
@@ -186,7 +186,7 @@
         assertThat(client.size()).isZero();
     }
 
-    private List<ClientEffect> onMessage(String from, GrantMessage.Reply reply, long stamp, long since) {
+    private List<ClientEffect> on(String from, GrantMessage.Reply reply, long stamp, long since) {
         return client.onMessage(from, message(reply, stamp, since), stamp + since);
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleet.java
@@ -68,13 +68,13 @@
     /** Gives each member its side's lowest living member as owner, after a delay of its own. */
     void publishOwners() {
         for (GrantNode node : nodes) {
-            node.sees(ownerOf(wire.side(node.name)), now + random.nextLong(maxViewDelay));
+            node.sees(ownerOf(wire.partitionOf(node.name)), now + random.nextLong(maxViewDelay));
         }
     }
 
     Optional<String> ownerOf(int side) {
         for (GrantNode node : nodes) {
-            if (node.alive && wire.side(node.name) == side) {
+            if (node.alive && wire.partitionOf(node.name) == side) {
                 return Optional.of(node.name);
             }
         }
@@ -84,7 +84,7 @@
     Set<String> living(int side) {
         Set<String> living = new HashSet<>();
         for (GrantNode node : nodes) {
-            if (node.alive && wire.side(node.name) == side) {
+            if (node.alive && wire.partitionOf(node.name) == side) {
                 living.add(node.name);
             }
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleetTest.java
@@ -159,13 +159,13 @@
 
     private static void split(GrantFleet fleet) {
         for (int i = 0; i < fleet.nodes.size(); i++) {
-            fleet.wire.side(fleet.nodes.get(i).name, i % 2);
+            fleet.wire.assignPartition(fleet.nodes.get(i).name, i % 2);
         }
         fleet.publishOwners();
     }
 
     private static void heal(GrantFleet fleet) {
-        fleet.nodes.forEach(node -> fleet.wire.side(node.name, 0));
+        fleet.nodes.forEach(node -> fleet.wire.assignPartition(node.name, 0));
         fleet.publishOwners();
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
@@ -137,7 +137,7 @@
             owner = CellOwner.builder(
                             "cell", new FifoArbiter(GrantFleet.capacity(GrantFleet.PLACES), 1_000), fleet.random)
                     .settings(fleet.settings)
-                    .expectedClients(fleet.living(fleet.wire.side(name)))
+                    .expectedClients(fleet.living(fleet.wire.partitionOf(name)))
                     .takeOver(clock());
         } else if (!own && owner != null) {
             performOwner(owner.resign(nextView.orElse(""), clock()));
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyNetwork.java
@@ -62,7 +62,7 @@
      * @param member the member
      * @param side its side, 0 at first
      */
-    public void side(String member, int side) {
+    public void assignPartition(String member, int side) {
         sides.put(member, side);
     }
 
@@ -72,7 +72,7 @@
      * @param member the member
      * @return its side
      */
-    public int side(String member) {
+    public int partitionOf(String member) {
         return sides.getOrDefault(member, 0);
     }
 
@@ -109,7 +109,7 @@
         List<Packet> due = new ArrayList<>();
         while (!packets.isEmpty() && packets.peek().dueNanos() <= nowNanos) {
             Packet packet = packets.poll();
-            if (side(packet.from()) == side(packet.to())) {
+            if (partitionOf(packet.from()) == partitionOf(packet.to())) {
                 due.add(packet);
             }
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -266,7 +266,7 @@
         Amount before = fleet.charged;
         long since = fleet.now;
         for (int i = 2; i < 4; i++) {
-            fleet.wire.side(fleet.nodes.get(i).name, 1);
+            fleet.wire.assignPartition(fleet.nodes.get(i).name, 1);
             fleet.nodes.get(i).home("entry-2");
         }
         fleet.nodes.get(2).becomesHome(fleet.now);
@@ -286,9 +286,9 @@
         fleet.run(5_000 * MILLI, 6);
         Amount before = fleet.charged;
         long since = fleet.now;
-        fleet.wire.side("entry-2", 1);
+        fleet.wire.assignPartition("entry-2", 1);
         fleet.run(7_000 * MILLI, 6);
-        fleet.wire.side("entry-3", 2);
+        fleet.wire.assignPartition("entry-3", 2);
         fleet.run(20_000 * MILLI, 6);
         assertThat(fleet.nodes.get(2).client.alone(CUSTOMER)).isTrue();
         assertThat(fleet.nodes.get(3).client.alone(CUSTOMER)).isTrue();
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -242,8 +242,8 @@
         switch (fleet.random.nextInt(40)) {
             case 0 -> node.pause(fleet.now + fleet.random.nextLong(2_500 * MILLI));
             case 1 -> node.restart(fleet.random);
-            case 2 -> fleet.wire.side(node.name, 1);
-            case 3, 4 -> fleet.nodes.forEach(each -> fleet.wire.side(each.name, 0));
+            case 2 -> fleet.wire.assignPartition(node.name, 1);
+            case 3, 4 -> fleet.nodes.forEach(each -> fleet.wire.assignPartition(each.name, 0));
             default -> {}
         }
     }
