--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/Arbiter.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/Arbiter.java
@@ -3,82 +3,82 @@
 import java.util.List;
 
 /**
- * Decides who is served next, where, and who is refused. The owner of a cell holds one, and an asker holds a smaller
- * one for the time when no owner can be reached.
+ * Scheduling policy of a cell: decides which request runs next on which worker, and which requests are rejected. The
+ * owner of a cell has one, and each client has one for its fraction of the capacity, used while no owner is reachable.
  *
- * <p>An arbiter is a state machine: each method takes an event with its time and returns the decisions that follow, in
- * order. Payloads are opaque to this module. Times are nanoseconds of one monotonic clock and never fall from call to
- * call.
+ * <p>An arbiter is a state machine: each method takes an event with its time and returns the resulting decisions in
+ * order. Payloads are opaque to this module. Times are nanoseconds of one monotonic clock and never decrease from call
+ * to call.
  */
 public interface Arbiter {
     /**
-     * A request arrives.
+     * Handles a new request.
      *
-     * @param askId its id, unique among those waiting or running
-     * @param arrivalNanos when a daemon first took it, on the arbiter's clock
-     * @param terms what the embedder says about it
-     * @param nowNanos the time
-     * @return the decisions
+     * @param askId identifier of the ask, unique among the waiting and running ones
+     * @param arrivalNanos time at which a daemon first accepted the request, in nanoseconds of the arbiter's clock
+     * @param terms opaque payload of the embedder that describes the request
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions in order
      */
     List<Decision> offer(String askId, long arrivalNanos, byte[] terms, long nowNanos);
 
     /**
-     * A waiting request is no longer wanted. Unknown ids are passed over.
+     * Cancels a waiting request. Unknown identifiers are ignored.
      *
-     * @param askId its id
-     * @param nowNanos the time
-     * @return the decisions
+     * @param askId identifier of the ask
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions in order
      */
     List<Decision> withdraw(String askId, long nowNanos);
 
     /**
-     * A granted request makes progress. Unknown grants are passed over.
+     * Handles progress of a granted request. Unknown grants are ignored.
      *
-     * @param grant the grant's number
-     * @param units how much has been done so far, for instance output tokens
-     * @param nowNanos the time
-     * @return the decisions
+     * @param grant number of the grant
+     * @param units progress so far, for instance output tokens
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions in order
      */
     List<Decision> progress(long grant, int units, long nowNanos);
 
     /**
-     * A granted request has ended. Unknown grants are passed over.
+     * Handles the end of a granted request. Unknown grants are ignored.
      *
-     * @param grant the grant's number
-     * @param observation what the asker saw; empty if the grant was never used
-     * @param nowNanos the time
-     * @return the decisions
+     * @param grant number of the grant
+     * @param observation opaque payload with the client's observation of the run; empty if the grant was never used
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions in order
      */
     List<Decision> release(long grant, byte[] observation, long nowNanos);
 
     /**
-     * A grant ends without word of its asker: the lease ran out, or the asker restarted. Whether the request ran is
-     * not known. Unknown grants are passed over.
+     * Ends a grant without a release by its client, because the lease expired or the client restarted. It is unknown
+     * whether the request ran. Unknown grants are ignored.
      *
-     * @param grant the grant's number
-     * @param nowNanos the time
-     * @return the decisions
+     * @param grant number of the grant
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions in order
      */
     List<Decision> expire(long grant, long nowNanos);
 
     /**
-     * A request is running already, by a grant of an earlier owner. It is counted even where that puts its worker above
-     * its capacity.
+     * Adds a request that already runs under a grant of an earlier owner. It is counted even if its worker exceeds its
+     * capacity as a result.
      *
-     * @param askId the ask's id
-     * @param worker the worker's name
-     * @param arrivalNanos when a daemon first took it
-     * @param terms what the embedder says about it
-     * @param nowNanos the time
-     * @return the number that this arbiter gives to the grant
+     * @param askId identifier of the ask
+     * @param worker name of the worker
+     * @param arrivalNanos time at which a daemon first accepted the request, in nanoseconds of the arbiter's clock
+     * @param terms opaque payload of the embedder that describes the request
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return number that this arbiter assigns to the grant
      */
     long adopt(String askId, String worker, long arrivalNanos, byte[] terms, long nowNanos);
 
     /**
-     * Time has passed. To be called every few tens of milliseconds.
+     * Makes the decisions that are due at the given time. Must be called every few tens of milliseconds.
      *
-     * @param nowNanos the time
-     * @return the decisions
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting decisions in order
      */
     List<Decision> advance(long nowNanos);
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellClient.java
@@ -8,253 +8,258 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The asker's side of one cell: asks the current owner for workers, renews what it holds, tells a new owner what the
- * old one granted, and falls back to a local arbiter while no owner answers.
+ * Client of one cell: asks the current owner for workers, renews its grants and asks, registers them with a new owner,
+ * and falls back to a local arbiter while no owner answers.
  *
- * <p>An ask is answered once: by one {@link ClientEffect.Granted}, {@link ClientEffect.Refused} or
- * {@link ClientEffect.DeadlinePassed}. Any further grant for it, be it a duplicate, late, from a former owner or for an
- * ask that was withdrawn, goes back unused; otherwise the same request would be sent to two workers, which shows as two
- * executions of one request id. That promise rests on this object's own state alone, never on what an owner believes.
+ * <p>An ask is answered exactly once, by {@link ClientEffect.Granted}, {@link ClientEffect.Refused} or
+ * {@link ClientEffect.DeadlinePassed}. A repeated message of its grant is ignored, and any other grant is returned unused,
+ * be it late, from a former owner or for a withdrawn ask. Without this, the same request would be sent to two workers and
+ * run twice under one request id. The guarantee depends only on the state of this object, not on that of any owner.
  *
- * <p>A state machine for one thread: events go in with their time in nanoseconds of a monotonic clock, effects come out.
+ * <p>A single-threaded state machine: each method takes an event with its time in nanoseconds of a monotonic clock and
+ * returns the effects.
  */
 public final class CellClient {
-    /** The reason code of a refusal because the client keeps as many asks as it may. */
+    /** Reason code of a rejection because the client already keeps {@link GrantSettings#maxAsks} asks. */
     public static final String CLIENT_FULL = "CLIENT_FULL";
 
     private static final byte[] UNUSED = {};
 
     private final long life;
     private final GrantSettings settings;
-    private final ClientBook book = new ClientBook();
-    private final OwnerLink link;
-    private final LocalMode local;
+    private final AskTable asks = new AskTable();
+    private final OwnerLink ownerLink;
+    private final LocalMode localMode;
     private long lastRenewNanos;
-    private long lastAsk;
+    private long lastAskNumber;
 
     /**
-     * Makes a client that knows no owner yet.
+     * Creates a client without an owner.
      *
-     * @param cell the cell's name
-     * @param life the incarnation with which this process started; it must not rise while the process lives
-     * @param settings times and bounds, the same as the owner's
-     * @param localArbiter decides while no owner answers, with this member's fraction of the capacity; must be empty
-     * @param random draws the term of local grants
+     * @param cell name of the cell
+     * @param life incarnation number with which this process started; it must not change while the process runs
+     * @param settings timeouts and limits, the same as those of the owner
+     * @param localArbiter scheduling policy while no owner answers, with this member's fraction of the capacity; must
+     *     have no requests or grants yet
+     * @param random source of the random term of local grants
      */
     public CellClient(String cell, long life, GrantSettings settings, Arbiter localArbiter, RandomGenerator random) {
         this.life = life;
         this.settings = settings;
-        this.link = new OwnerLink(cell, life, settings, book);
-        this.local = new LocalMode(localArbiter, random.nextLong(), book);
+        this.ownerLink = new OwnerLink(cell, life, settings, asks);
+        this.localMode = new LocalMode(localArbiter, random.nextLong(), asks);
     }
 
     /**
      * Asks for a worker.
      *
-     * @param arrivalNanos when the request arrived; a request that asks again keeps its first arrival
-     * @param deadlineNanos when the caller no longer wants it
-     * @param terms the payload for the arbiter
-     * @param nowNanos the time
-     * @return the ask's number and what to do
+     * @param arrivalNanos monotonic time of the request's first arrival in nanoseconds, unchanged when it asks again
+     * @param deadlineNanos monotonic time in nanoseconds after which the request must not be sent to a worker
+     * @param terms opaque payload that describes the request to the arbiter
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return number of the ask and the actions that the embedder must carry out
      */
     public ClientEffect.Asked ask(long arrivalNanos, long deadlineNanos, byte[] terms, long nowNanos) {
         List<ClientEffect> effects = new ArrayList<>();
-        lastAsk++;
-        if (book.asks().size() >= settings.maxAsks()) {
-            effects.add(new ClientEffect.Refused(lastAsk, CLIENT_FULL, settings.renewNanos()));
-            return new ClientEffect.Asked(lastAsk, effects);
+        lastAskNumber++;
+        if (asks.byNumber().size() >= settings.maxAsks()) {
+            effects.add(new ClientEffect.Refused(lastAskNumber, CLIENT_FULL, settings.renewNanos()));
+            return new ClientEffect.Asked(lastAskNumber, effects);
         }
-        ClientAsk ask = new ClientAsk(lastAsk, arrivalNanos, deadlineNanos, terms);
-        book.asks().put(lastAsk, ask);
-        if (local.active()) {
-            local.offer(ask, nowNanos, effects);
+        ClientAsk ask = new ClientAsk(lastAskNumber, arrivalNanos, deadlineNanos, terms);
+        asks.byNumber().put(lastAskNumber, ask);
+        if (localMode.isActive()) {
+            localMode.offer(ask, nowNanos, effects);
         } else {
-            link.ask(ask, nowNanos, effects);
+            ownerLink.ask(ask, nowNanos, effects);
         }
         return new ClientEffect.Asked(ask.number(), effects);
     }
 
     /**
-     * The caller has gone. An ask that was granted is to be released instead; for it, and for one that has ended,
-     * nothing happens.
+     * Cancels a waiting ask, for instance after its caller has disconnected. Asks that were granted or have ended are
+     * ignored; a grant is ended by {@link #release}.
      *
-     * @param ask the ask's number
-     * @param nowNanos the time
-     * @return what to do
+     * @param ask number of the ask
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<ClientEffect> withdraw(long ask, long nowNanos) {
         List<ClientEffect> effects = new ArrayList<>();
-        ClientAsk found = book.find(ask);
-        if (found != null && found.waits()) {
-            drop(found, nowNanos, effects);
+        ClientAsk found = asks.find(ask);
+        if (found != null && found.isWaiting()) {
+            withdraw(found, nowNanos, effects);
         }
         return effects;
     }
 
     /**
-     * Whether the request may be sent to its worker now. To be called right before the first byte is written: a process
-     * that was paused between grant and use would otherwise run a request that its owner has long counted as gone.
+     * Checks the grant of an ask and marks it as used. Must be called right before the first byte is written to the
+     * worker. Without this check, a process that was paused after it received the grant would run a request whose lease
+     * has expired at the owner.
      *
-     * @param ask the ask's number
-     * @param nowNanos the time
-     * @return the verdict; {@link GrantCheck.Usable} at most once for each ask
+     * @param ask number of the ask
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the result; {@link GrantCheck.Usable} at most once for each ask
      */
     public GrantCheck tryUse(long ask, long nowNanos) {
-        ClientAsk found = book.find(ask);
-        if (found == null || found.state() != ClientAsk.State.GRANTED || found.used()) {
+        ClientAsk found = asks.find(ask);
+        if (found == null || found.state() != ClientAsk.State.GRANTED || found.isUsed()) {
             return new GrantCheck.NotHeld();
         }
-        if (found.deadlinePassed(nowNanos)) {
+        if (found.isPastDeadline(nowNanos)) {
             return new GrantCheck.DeadlinePassed(release(ask, UNUSED, nowNanos));
         }
-        if (found.leaseEnded(nowNanos)) {
+        if (found.isLeaseExpired(nowNanos)) {
             return new GrantCheck.LeaseExpired(release(ask, UNUSED, nowNanos));
         }
-        found.use();
+        found.markUsed();
         return new GrantCheck.Usable(found.worker());
     }
 
     /**
-     * A granted request has made progress; the owner hears of it with the next renewal.
+     * Records the progress of a granted request, which the next renewal reports to the owner.
      *
-     * @param ask the ask's number
-     * @param units how much has been done so far
-     * @param nowNanos the time
-     * @return what to do
+     * @param ask number of the ask
+     * @param units progress so far, for instance output tokens
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<ClientEffect> progress(long ask, int units, long nowNanos) {
         List<ClientEffect> effects = new ArrayList<>();
-        ClientAsk found = book.find(ask);
+        ClientAsk found = asks.find(ask);
         if (found != null) {
-            found.progress(units);
-            local.progress(found, nowNanos, effects);
+            found.recordProgress(units);
+            localMode.recordProgress(found, nowNanos, effects);
         }
         return effects;
     }
 
     /**
-     * A granted request has ended, or its grant was not used. Unknown asks are passed over.
+     * Ends a grant, used or not. Unknown and waiting asks are ignored.
      *
-     * @param ask the ask's number
-     * @param observation the payload for the arbiter; empty if the grant was not used
-     * @param nowNanos the time
-     * @return what to do
+     * @param ask number of the ask
+     * @param observation opaque payload for the arbiter; empty if the grant was not used
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<ClientEffect> release(long ask, byte[] observation, long nowNanos) {
         List<ClientEffect> effects = new ArrayList<>();
-        ClientAsk found = book.find(ask);
-        if (found == null || found.waits()) {
+        ClientAsk found = asks.find(ask);
+        if (found == null || found.isWaiting()) {
             return effects;
         }
-        book.asks().remove(ask);
-        local.release(found, observation, nowNanos, effects);
-        link.tell(new GrantMessage.Release(ask, found.grant(), observation), nowNanos, effects);
+        asks.byNumber().remove(ask);
+        localMode.release(found, observation, nowNanos, effects);
+        ownerLink.sendToOwner(new GrantMessage.Release(ask, found.grant(), observation), nowNanos, effects);
         return effects;
     }
 
     /**
-     * The membership names another owner, the same one in a new life, or none.
+     * Handles a change of the owner according to the membership: another member, the same member with a new
+     * incarnation, or none.
      *
-     * @param newOwner the owner's member name
-     * @param nowNanos the time
-     * @return what to do
+     * @param newOwner member name of the owner; empty if there is none
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<ClientEffect> ownerChanged(Optional<String> newOwner, long nowNanos) {
         List<ClientEffect> effects = new ArrayList<>();
-        link.ownerChanged(newOwner.orElse(""), nowNanos, effects);
+        ownerLink.ownerChanged(newOwner.orElse(""), nowNanos, effects);
         return effects;
     }
 
     /**
-     * A message has arrived.
+     * Handles a message of an owner or a former owner.
      *
-     * @param from the sender's member name
+     * @param from member name of the sender
      * @param message the message
-     * @param nowNanos the time
-     * @return what to do
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<ClientEffect> onMessage(String from, GrantMessage.ToClient message, long nowNanos) {
         List<ClientEffect> effects = new ArrayList<>();
         if (message.life() != life) {
             return effects;
         }
-        boolean current = link.isOwner(from);
+        boolean fromCurrentOwner = ownerLink.isOwner(from);
         if (message.body() instanceof GrantMessage.Granted granted) {
             onGranted(from, message, granted, nowNanos, effects);
         }
-        if (current && message.body() instanceof GrantMessage.NotOwner) {
-            link.expectAnswer(nowNanos);
-        } else if (current) {
-            onOwner(link.inTerm(from, message), message, nowNanos, effects);
+        if (fromCurrentOwner && message.body() instanceof GrantMessage.NotOwner) {
+            ownerLink.expectAnswer(nowNanos);
+        } else if (fromCurrentOwner) {
+            onOwnerMessage(ownerLink.isFromRegisteredTerm(from, message), message, nowNanos, effects);
         }
         return effects;
     }
 
     /**
-     * Time has passed. To be called every few tens of milliseconds.
+     * Handles timeouts, renewals and the start of local mode. Must be called every few tens of milliseconds.
      *
-     * @param nowNanos the time
-     * @return what to do
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<ClientEffect> advance(long nowNanos) {
         List<ClientEffect> effects = new ArrayList<>();
-        passDeadlines(nowNanos, effects);
-        if (!local.active() && link.silent(nowNanos)) {
-            local.enter(nowNanos, effects);
+        expirePastDeadline(nowNanos, effects);
+        if (!localMode.isActive() && ownerLink.isUnresponsive(nowNanos)) {
+            localMode.enter(nowNanos, effects);
         }
-        if (local.active()) {
-            local.advance(nowNanos, effects);
+        if (localMode.isActive()) {
+            localMode.advance(nowNanos, effects);
         }
-        link.repeat(nowNanos, effects);
+        ownerLink.resendOverdue(nowNanos, effects);
         if (nowNanos - lastRenewNanos >= settings.renewNanos()) {
             lastRenewNanos = nowNanos;
-            if (local.active() || !book.asks().isEmpty()) {
-                link.renew(nowNanos, effects);
+            if (localMode.isActive() || !asks.byNumber().isEmpty()) {
+                ownerLink.renew(nowNanos, effects);
             }
         }
         return effects;
     }
 
     /**
-     * Whether requests are granted by the local arbiter.
+     * Whether the local arbiter grants the requests because no owner answers.
      *
      * @return true in local mode
      */
     public boolean isLocalMode() {
-        return local.active();
+        return localMode.isActive();
     }
 
     /**
-     * Asks that wait or hold a grant.
+     * Number of asks that wait or have a grant.
      *
-     * @return how many
+     * @return the number
      */
     public int size() {
-        return book.asks().size();
+        return asks.byNumber().size();
     }
 
-    private void onOwner(boolean inTerm, GrantMessage.ToClient message, long nowNanos, List<ClientEffect> effects) {
-        link.answered(message, nowNanos, effects);
-        if (local.active()) {
-            local.leave(nowNanos, effects);
-            link.register(nowNanos, effects);
+    private void onOwnerMessage(
+            boolean fromRegisteredTerm, GrantMessage.ToClient message, long nowNanos, List<ClientEffect> effects) {
+        ownerLink.onAnswer(message, nowNanos, effects);
+        if (localMode.isActive()) {
+            localMode.leave(nowNanos, effects);
+            ownerLink.register(nowNanos, effects);
         }
         if (message.body() instanceof GrantMessage.Queued queued) {
-            ClientAsk ask = book.find(queued.ask());
-            if (ask != null && ask.state() == ClientAsk.State.UNANSWERED) {
-                ask.queued();
+            ClientAsk ask = asks.find(queued.ask());
+            if (ask != null && ask.state() == ClientAsk.State.UNACKNOWLEDGED) {
+                ask.markQueued();
             }
         } else if (message.body() instanceof GrantMessage.Refused refused) {
-            ClientAsk ask = book.find(refused.ask());
-            if (ask != null && ask.waits() && inTerm) {
-                book.asks().remove(refused.ask());
+            ClientAsk ask = asks.find(refused.ask());
+            if (ask != null && ask.isWaiting() && fromRegisteredTerm) {
+                asks.byNumber().remove(refused.ask());
                 effects.add(new ClientEffect.Refused(refused.ask(), refused.reason(), refused.retryAfterNanos()));
             }
         } else if (message.body() instanceof GrantMessage.Preempted preempted) {
-            ClientAsk ask = book.find(preempted.ask());
+            ClientAsk ask = asks.find(preempted.ask());
             boolean held = ask != null && ask.state() == ClientAsk.State.GRANTED;
             if (held && preempted.grant().equals(ask.grant())) {
-                ask.becomes(ClientAsk.State.PREEMPTED);
+                ask.transitionTo(ClientAsk.State.PREEMPTED);
                 effects.add(new ClientEffect.Preempted(ask.number(), ask.grant()));
             }
         } else if (message.body() instanceof GrantMessage.Renewed renewed) {
@@ -268,34 +273,35 @@
             GrantMessage.Granted granted,
             long nowNanos,
             List<ClientEffect> effects) {
-        ClientAsk ask = book.find(granted.ask());
+        ClientAsk ask = asks.find(granted.ask());
         if (ask != null && granted.grant().equals(ask.grant())) {
             return;
         }
-        if (ask == null || !wanted(ask, from, message, granted)) {
-            link.send(from, new GrantMessage.Release(granted.ask(), granted.grant(), UNUSED), nowNanos, effects);
-            giveBack(ask, granted.grant());
+        if (ask == null || !isAcceptable(ask, from, message, granted)) {
+            ownerLink.send(from, new GrantMessage.Release(granted.ask(), granted.grant(), UNUSED), nowNanos, effects);
+            recordReturnedGrant(ask, granted.grant());
             return;
         }
-        // The owner sent this no earlier than our stamp plus the time it had held it, so a lease counted from there
-        // never ends later here than there, however long the message was under way.
+        // Lower bound of the sending time: the stamp plus its age at the owner. A lease counted from there never ends
+        // later here than at the owner, regardless of the message's delay.
         long sentNanos = message.stampNanos() + message.sinceStampNanos();
-        ask.granted(granted.grant(), granted.worker(), sentNanos + granted.leaseNanos());
+        ask.markGranted(granted.grant(), granted.worker(), sentNanos + granted.leaseNanos());
         effects.add(new ClientEffect.Granted(ask.number(), ask.grant(), ask.worker()));
     }
 
-    private boolean wanted(ClientAsk ask, String from, GrantMessage.ToClient message, GrantMessage.Granted granted) {
-        boolean waitsThere = ask.waits() && ask.state() != ClientAsk.State.LOCAL;
-        return waitsThere && link.inTerm(from, message) && !ask.wasReturned(granted.grant());
+    private boolean isAcceptable(
+            ClientAsk ask, String from, GrantMessage.ToClient message, GrantMessage.Granted granted) {
+        boolean waitsAtOwner = ask.isWaiting() && ask.state() != ClientAsk.State.LOCAL;
+        return waitsAtOwner && ownerLink.isFromRegisteredTerm(from, message) && !ask.wasReturned(granted.grant());
     }
 
-    private static void giveBack(ClientAsk ask, GrantId grant) {
+    private static void recordReturnedGrant(ClientAsk ask, GrantId grant) {
         if (ask == null) {
             return;
         }
-        ask.returned(grant);
+        ask.recordReturned(grant);
         if (ask.state() == ClientAsk.State.QUEUED) {
-            ask.becomes(ClientAsk.State.UNANSWERED);
+            ask.transitionTo(ClientAsk.State.UNACKNOWLEDGED);
         }
     }
 
@@ -304,38 +310,38 @@
         boolean grantsUnknown = false;
         Set<Long> unknown = new HashSet<>(renewed.unknown());
         for (Long number : unknown) {
-            ClientAsk ask = book.find(number);
+            ClientAsk ask = asks.find(number);
             if (ask != null && ask.state() == ClientAsk.State.GRANTED) {
                 grantsUnknown = true;
             } else if (ask != null && ask.state() == ClientAsk.State.QUEUED) {
-                link.ask(ask, nowNanos, effects);
+                ownerLink.ask(ask, nowNanos, effects);
             }
         }
-        for (ClientAsk ask : book.asks().values()) {
+        for (ClientAsk ask : asks.byNumber().values()) {
             if (ask.state() == ClientAsk.State.GRANTED && !unknown.contains(ask.number())) {
-                ask.leaseUntil(message.stampNanos() + renewed.leaseNanos());
+                ask.extendLease(message.stampNanos() + renewed.leaseNanos());
             }
         }
         if (grantsUnknown) {
-            link.register(nowNanos, effects);
+            ownerLink.register(nowNanos, effects);
         }
     }
 
-    private void passDeadlines(long nowNanos, List<ClientEffect> effects) {
-        for (ClientAsk ask : book.all()) {
-            if (ask.waits() && book.find(ask.number()) == ask && ask.deadlinePassed(nowNanos)) {
-                drop(ask, nowNanos, effects);
+    private void expirePastDeadline(long nowNanos, List<ClientEffect> effects) {
+        for (ClientAsk ask : asks.snapshot()) {
+            if (ask.isWaiting() && asks.find(ask.number()) == ask && ask.isPastDeadline(nowNanos)) {
+                withdraw(ask, nowNanos, effects);
                 effects.add(new ClientEffect.DeadlinePassed(ask.number()));
             }
         }
     }
 
-    private void drop(ClientAsk ask, long nowNanos, List<ClientEffect> effects) {
-        book.asks().remove(ask.number());
+    private void withdraw(ClientAsk ask, long nowNanos, List<ClientEffect> effects) {
+        asks.byNumber().remove(ask.number());
         if (ask.state() == ClientAsk.State.LOCAL) {
-            local.withdraw(ask, nowNanos, effects);
+            localMode.withdraw(ask, nowNanos, effects);
         } else {
-            link.tell(new GrantMessage.Withdraw(ask.number()), nowNanos, effects);
+            ownerLink.sendToOwner(new GrantMessage.Withdraw(ask.number()), nowNanos, effects);
         }
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/CellOwner.java
@@ -8,63 +8,63 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Owns one cell for one term: holds its one queue, hands out grants with leases, and rebuilds both from the askers when
- * it takes over from another owner.
+ * Owner of one cell for one term: holds the cell's queue and issues grants with leases.
  *
- * <p>The state is reconstructible: nothing here is kept anywhere else, and a new owner learns the outstanding grants
- * from those who hold them. Until all expected askers have registered, or the settle time is over, asks are held and
- * nothing is granted; otherwise a new owner would count workers as free that still run what its predecessor granted,
- * which shows as workers above their capacity right after a take-over.
+ * <p>The state is not replicated. After a take-over, the new owner rebuilds it from the registrations of the clients,
+ * which report their grants and waiting asks. It settles first: asks are buffered and nothing is granted until all
+ * expected clients have registered or the settle time is over. Without this, a new owner would treat workers as free
+ * that still run requests granted by its predecessor, and workers would exceed their capacity right after a take-over.
  *
- * <p>A state machine for one thread: events go in with their time in nanoseconds of a monotonic clock, effects come out.
+ * <p>A single-threaded state machine: each method takes an event with its time in nanoseconds of a monotonic clock and
+ * returns the effects.
  */
 public final class CellOwner {
     private static final String SETTLING_FULL = "SETTLING_FULL";
-    private static final int SCANS_PER_LEASE = 16;
+    private static final int EXPIRY_SCANS_PER_LEASE = 16;
 
     private final String cell;
     private final GrantSettings settings;
     private final Arbiter arbiter;
-    private final boolean awaitsAll;
-    private final Set<String> awaited;
-    private final long settleEndsNanos;
-    private final OwnerLedger ledger;
+    private final boolean waitsFullSettleTime;
+    private final Set<String> unregisteredClients;
+    private final long settleDeadlineNanos;
+    private final GrantTable table;
     private boolean settled;
     private boolean resigned;
     private String successor = "";
-    private int adopted;
-    private long nextScanNanos;
+    private int adoptedGrants;
+    private long nextExpiryScanNanos;
 
     private CellOwner(Builder builder, long nowNanos) {
         cell = builder.cellName;
         settings = builder.grantSettings;
         arbiter = builder.cellArbiter;
-        ledger = new OwnerLedger(cell, settings, arbiter, builder.randomGenerator.nextLong());
-        awaitsAll = builder.expected == null;
-        awaited = awaitsAll ? new HashSet<>() : new HashSet<>(builder.expected);
-        settleEndsNanos = nowNanos + settings.settleNanos();
-        nextScanNanos = nowNanos;
+        table = new GrantTable(cell, settings, arbiter, builder.randomGenerator.nextLong());
+        waitsFullSettleTime = builder.expected == null;
+        unregisteredClients = waitsFullSettleTime ? new HashSet<>() : new HashSet<>(builder.expected);
+        settleDeadlineNanos = nowNanos + settings.settleNanos();
+        nextExpiryScanNanos = nowNanos;
     }
 
     /**
-     * Starts to build an owner.
+     * Creates a builder of an owner.
      *
-     * @param cell the cell's name
-     * @param arbiter decides; must be empty
-     * @param random draws the term, which must differ from that of every other owner of the cell
-     * @return the builder
+     * @param cell name of the cell
+     * @param arbiter scheduling policy; must have no requests or grants yet
+     * @param random source of the random term, which must differ from that of every other owner of the cell
+     * @return a new builder
      */
     public static Builder builder(String cell, Arbiter arbiter, RandomGenerator random) {
         return new Builder(cell, arbiter, random);
     }
 
     /**
-     * A message has arrived.
+     * Handles a message of a client.
      *
-     * @param from the sender's member name
+     * @param from member name of the client
      * @param message the message
-     * @param nowNanos the time
-     * @return what to do
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<OwnerEffect> onMessage(String from, GrantMessage.ToOwner message, long nowNanos) {
         List<OwnerEffect> effects = new ArrayList<>();
@@ -72,64 +72,64 @@
             effects.add(new OwnerEffect.Send(from, notOwner(message, successor)));
             return effects;
         }
-        OwnerSession session = ledger.session(from, message.life(), nowNanos, effects);
+        OwnerSession session = table.sessionFor(from, message.life(), nowNanos, effects);
         if (session == null) {
             return effects;
         }
-        session.heard(message.stampNanos(), nowNanos);
+        session.recordStamp(message.stampNanos(), nowNanos);
         handle(session, message.body(), nowNanos, effects);
         settleIfDue(nowNanos, effects);
         return effects;
     }
 
     /**
-     * Time has passed. To be called every few tens of milliseconds.
+     * Expires leases, ends the settle time and lets the arbiter decide. Must be called every few tens of milliseconds.
      *
-     * @param nowNanos the time
-     * @return what to do
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<OwnerEffect> advance(long nowNanos) {
         List<OwnerEffect> effects = new ArrayList<>();
         if (resigned) {
             return effects;
         }
-        if (nextScanNanos - nowNanos <= 0) {
-            nextScanNanos = nowNanos + settings.leaseNanos() / SCANS_PER_LEASE;
-            ledger.expire(nowNanos, effects);
+        if (nextExpiryScanNanos - nowNanos <= 0) {
+            nextExpiryScanNanos = nowNanos + settings.leaseNanos() / EXPIRY_SCANS_PER_LEASE;
+            table.expire(nowNanos, effects);
         }
         settleIfDue(nowNanos, effects);
         if (settled) {
-            ledger.carryOut(arbiter.advance(nowNanos), nowNanos, effects);
+            table.apply(arbiter.advance(nowNanos), nowNanos, effects);
         }
         return effects;
     }
 
     /**
-     * Carries out decisions that the embedder got from the arbiter by itself, for instance after a worker's report.
+     * Applies decisions that the embedder obtained directly from the arbiter, for instance after a worker's report.
      *
-     * @param decisions the decisions
-     * @param nowNanos the time
-     * @return what to do
+     * @param decisions the decisions in order
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<OwnerEffect> apply(List<Decision> decisions, long nowNanos) {
         List<OwnerEffect> effects = new ArrayList<>();
         if (!resigned) {
-            ledger.carryOut(decisions, nowNanos, effects);
+            table.apply(decisions, nowNanos, effects);
         }
         return effects;
     }
 
     /**
-     * The membership counts an asker as dead, so the settling owner no longer waits for it. Its leases run on: the
-     * suspicion may be wrong, and then its requests still run at the workers.
+     * Handles a client that the membership protocol declared dead: the settling owner no longer waits for it. Its
+     * leases are kept until they expire, because it may be alive and its requests may still run at the workers.
      *
-     * @param asker the asker's member name
-     * @param nowNanos the time
-     * @return what to do
+     * @param client member name of the client
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
-    public List<OwnerEffect> onClientDead(String asker, long nowNanos) {
+    public List<OwnerEffect> onClientDead(String client, long nowNanos) {
         List<OwnerEffect> effects = new ArrayList<>();
-        awaited.remove(asker);
+        unregisteredClients.remove(client);
         if (!resigned) {
             settleIfDue(nowNanos, effects);
         }
@@ -137,32 +137,32 @@
     }
 
     /**
-     * Ends the term: another member owns the cell. Grants stay valid and are registered with the successor by those who
-     * hold them. Every later message is answered with {@link GrantMessage.NotOwner}.
+     * Ends the term because another member owns the cell. Grants stay valid; the clients that hold them register them
+     * with the successor. Every later message is answered with {@link GrantMessage.NotOwner}.
      *
-     * @param newOwner the successor's member name; empty if unknown
-     * @param nowNanos the time
-     * @return what to do
+     * @param newOwner member name of the successor; empty if unknown
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out, in order
      */
     public List<OwnerEffect> resign(String newOwner, long nowNanos) {
         List<OwnerEffect> effects = new ArrayList<>();
         successor = newOwner;
         if (!resigned) {
-            for (OwnerSession session : ledger.sessions()) {
-                ledger.send(session, new GrantMessage.NotOwner(newOwner), nowNanos, effects);
+            for (OwnerSession session : table.sessions()) {
+                table.send(session, new GrantMessage.NotOwner(newOwner), nowNanos, effects);
             }
         }
         resigned = true;
-        ledger.clear();
+        table.clear();
         return effects;
     }
 
     /**
-     * Answers a message that reached a member which doesn't own the cell.
+     * Creates the answer to a message that reached a member that does not own the cell.
      *
      * @param message the message
-     * @param owner who owns it, as far as is known; else empty
-     * @return the answer
+     * @param owner member name of the owner; empty if unknown
+     * @return the answer to the sender
      */
     public static GrantMessage.ToClient notOwner(GrantMessage.ToOwner message, String owner) {
         return new GrantMessage.ToClient(
@@ -170,40 +170,40 @@
     }
 
     /**
-     * Whether the owner has begun to grant.
+     * Whether the settle phase is over.
      *
-     * @return true if so
+     * @return true if the owner issues grants
      */
-    public boolean settled() {
+    public boolean isSettled() {
         return settled;
     }
 
     /**
-     * The grants whose leases run.
+     * Number of grants per worker that were issued or adopted and have not ended.
      *
-     * @return how many by worker's name; a worker without any isn't listed
+     * @return number of grants by worker name, without workers that have none
      */
     public Map<String, Integer> leasesByWorker() {
-        return ledger.leasesByWorker();
+        return table.leasesByWorker();
     }
 
     /**
-     * Asks and grants that the owner holds.
+     * Number of asks and grants in the owner's table.
      *
-     * @return how many
+     * @return the number
      */
     public int size() {
-        return ledger.size();
+        return table.size();
     }
 
     private void handle(OwnerSession session, GrantMessage.Request request, long nowNanos, List<OwnerEffect> effects) {
         if (request instanceof GrantMessage.Ask ask) {
             ask(session, ask, nowNanos, effects);
         } else if (request instanceof GrantMessage.Withdraw withdraw) {
-            // An asker withdraws only what it was not granted, so even a grant that crosses this was never used.
+            // A client withdraws only asks that it has no grant for, so a grant that is still in flight is never used.
             OwnerEntry entry = session.entries().get(withdraw.ask());
             if (entry != null) {
-                ledger.end(session, entry, nowNanos, effects);
+                table.end(session, entry, nowNanos, effects);
             }
         } else if (request instanceof GrantMessage.Renew renew) {
             renew(session, renew, nowNanos, effects);
@@ -215,15 +215,15 @@
     }
 
     private void ask(OwnerSession session, GrantMessage.Ask ask, long nowNanos, List<OwnerEffect> effects) {
-        OwnerEntry known = session.entries().get(ask.ask());
-        if (known != null) {
-            known.renewUntil(nowNanos + settings.leaseNanos());
-            repeatAnswer(session, known, nowNanos, effects);
+        OwnerEntry existing = session.entries().get(ask.ask());
+        if (existing != null) {
+            existing.extendLease(nowNanos + settings.leaseNanos());
+            resendAnswer(session, existing, nowNanos, effects);
             return;
         }
-        if (!settled && ledger.held() >= settings.maxAsks()) {
-            // Without a bound, a take-over in the middle of a burst fills the memory before anything is granted.
-            ledger.send(
+        if (!settled && table.buffered() >= settings.maxAsks()) {
+            // Without a limit, a take-over during a burst of requests exhausts the memory before anything is granted.
+            table.send(
                     session,
                     new GrantMessage.Refused(ask.ask(), SETTLING_FULL, settings.settleNanos()),
                     nowNanos,
@@ -231,22 +231,22 @@
             return;
         }
         OwnerEntry entry = new OwnerEntry(
-                session.asker(), session.life(), ask.ask(), nowNanos - Math.max(0, ask.ageNanos()), ask.terms());
-        ledger.add(session, entry, nowNanos);
+                session.client(), session.life(), ask.ask(), nowNanos - Math.max(0, ask.ageNanos()), ask.terms());
+        table.add(session, entry, nowNanos);
         if (settled) {
-            ledger.offer(entry, nowNanos, effects);
+            table.offer(entry, nowNanos, effects);
         }
-        if (ledger.holds(entry) && entry.state() != OwnerEntry.State.GRANTED) {
-            ledger.send(session, new GrantMessage.Queued(ask.ask()), nowNanos, effects);
+        if (table.contains(entry) && entry.state() != OwnerEntry.State.GRANTED) {
+            table.send(session, new GrantMessage.Queued(ask.ask()), nowNanos, effects);
         }
     }
 
-    /** The earlier answer may have been lost, so it is given again; an ask is never offered to the arbiter twice. */
-    private void repeatAnswer(OwnerSession session, OwnerEntry entry, long nowNanos, List<OwnerEffect> effects) {
+    /** Resends the answer, which may have been lost; an ask is never offered to the arbiter twice. */
+    private void resendAnswer(OwnerSession session, OwnerEntry entry, long nowNanos, List<OwnerEffect> effects) {
         if (entry.state() == OwnerEntry.State.GRANTED) {
-            ledger.sendGranted(session, entry, nowNanos, effects);
+            table.sendGranted(session, entry, nowNanos, effects);
         } else {
-            ledger.send(session, new GrantMessage.Queued(entry.ask()), nowNanos, effects);
+            table.send(session, new GrantMessage.Queued(entry.ask()), nowNanos, effects);
         }
     }
 
@@ -258,7 +258,7 @@
             if (entry == null || !renewed.grant().equals(entry.grant())) {
                 unknown.add(renewed.ask());
             } else {
-                entry.renewUntil(nowNanos + settings.leaseNanos());
+                entry.extendLease(nowNanos + settings.leaseNanos());
                 decisions.addAll(arbiter.progress(entry.arbiterGrant(), renewed.units(), nowNanos));
             }
         }
@@ -267,14 +267,14 @@
             if (entry == null) {
                 unknown.add(ask);
             } else {
-                entry.renewUntil(nowNanos + settings.leaseNanos());
+                entry.extendLease(nowNanos + settings.leaseNanos());
                 if (entry.state() == OwnerEntry.State.GRANTED) {
-                    ledger.sendGranted(session, entry, nowNanos, effects);
+                    table.sendGranted(session, entry, nowNanos, effects);
                 }
             }
         }
-        ledger.send(session, new GrantMessage.Renewed(settings.leaseNanos(), unknown), nowNanos, effects);
-        ledger.carryOut(decisions, nowNanos, effects);
+        table.send(session, new GrantMessage.Renewed(settings.leaseNanos(), unknown), nowNanos, effects);
+        table.apply(decisions, nowNanos, effects);
     }
 
     private void release(OwnerSession session, GrantMessage.Release release, long nowNanos, List<OwnerEffect> effects) {
@@ -282,8 +282,8 @@
         if (entry == null || !release.grant().equals(entry.grant())) {
             return;
         }
-        ledger.remove(session, entry);
-        ledger.carryOut(arbiter.release(entry.arbiterGrant(), release.observation(), nowNanos), nowNanos, effects);
+        table.remove(session, entry);
+        table.apply(arbiter.release(entry.arbiterGrant(), release.observation(), nowNanos), nowNanos, effects);
     }
 
     private void reregister(
@@ -294,38 +294,38 @@
         for (GrantMessage.Ask ask : message.asks()) {
             ask(session, ask, nowNanos, effects);
         }
-        ledger.send(session, new GrantMessage.Registered(message.registration(), message.part()), nowNanos, effects);
-        if (session.registered(message)) {
-            awaited.remove(session.asker());
+        table.send(session, new GrantMessage.Registered(message.registration(), message.part()), nowNanos, effects);
+        if (session.recordPart(message)) {
+            unregisteredClients.remove(session.client());
         }
     }
 
     private void adopt(OwnerSession session, GrantMessage.Outstanding grant, long nowNanos, List<OwnerEffect> effects) {
         long ask = grant.held().ask();
-        OwnerEntry known = session.entries().get(ask);
-        if (known != null && grant.held().grant().equals(known.grant())) {
-            known.renewUntil(nowNanos + settings.leaseNanos());
+        OwnerEntry existing = session.entries().get(ask);
+        if (existing != null && grant.held().grant().equals(existing.grant())) {
+            existing.extendLease(nowNanos + settings.leaseNanos());
             return;
         }
-        if (known != null) {
-            ledger.end(session, known, nowNanos, effects);
+        if (existing != null) {
+            table.end(session, existing, nowNanos, effects);
         }
         long arrivalNanos = nowNanos - Math.max(0, grant.ageNanos());
-        OwnerEntry entry = new OwnerEntry(session.asker(), session.life(), ask, arrivalNanos, grant.terms());
-        long number = arbiter.adopt(entry.arbiterId(), grant.worker(), arrivalNanos, grant.terms(), nowNanos);
-        entry.granted(grant.held().grant(), number, grant.worker());
-        ledger.add(session, entry, nowNanos);
-        adopted++;
+        OwnerEntry entry = new OwnerEntry(session.client(), session.life(), ask, arrivalNanos, grant.terms());
+        long arbiterGrant = arbiter.adopt(entry.askId(), grant.worker(), arrivalNanos, grant.terms(), nowNanos);
+        entry.markGranted(grant.held().grant(), arbiterGrant, grant.worker());
+        table.add(session, entry, nowNanos);
+        adoptedGrants++;
     }
 
     private void settleIfDue(long nowNanos, List<OwnerEffect> effects) {
-        boolean incomplete = awaitsAll || !awaited.isEmpty();
-        if (settled || incomplete && settleEndsNanos - nowNanos > 0) {
+        boolean incomplete = waitsFullSettleTime || !unregisteredClients.isEmpty();
+        if (settled || incomplete && settleDeadlineNanos - nowNanos > 0) {
             return;
         }
         settled = true;
-        effects.add(new OwnerEffect.Settled(adopted, awaited.size()));
-        ledger.offerHeld(nowNanos, effects);
+        effects.add(new OwnerEffect.Settled(adoptedGrants, unregisteredClients.size()));
+        table.offerBuffered(nowNanos, effects);
     }
 
     /** Builds a {@link CellOwner}. */
@@ -343,10 +343,10 @@
         }
 
         /**
-         * Sets times and bounds.
+         * Sets the timeouts and limits. The default is that of {@link GrantSettings#builder}.
          *
-         * @param settings the settings
-         * @return this
+         * @param settings the settings, the same as those of the clients
+         * @return this builder
          */
         public Builder settings(GrantSettings settings) {
             grantSettings = settings;
@@ -354,22 +354,22 @@
         }
 
         /**
-         * Sets the askers that may hold grants of earlier owners: all live members, each of which needs a {@link
-         * CellClient} for the cell from its start. Once each has registered, the owner settles without waiting for the
-         * rest of the settle time; when they aren't set, it waits for all of it.
+         * Sets the clients that may hold grants of earlier owners: all live members. Each of them must have a {@link
+         * CellClient} for the cell from its start. The owner begins to grant as soon as all of them have registered;
+         * without this setting, it always waits for the whole settle time.
          *
-         * @param askers their member names
-         * @return this
+         * @param clients member names of the clients
+         * @return this builder
          */
-        public Builder expectedClients(Set<String> askers) {
-            expected = Set.copyOf(askers);
+        public Builder expectedClients(Set<String> clients) {
+            expected = Set.copyOf(clients);
             return this;
         }
 
         /**
-         * Takes the cell over.
+         * Creates the owner, which begins to settle.
          *
-         * @param nowNanos the time
+         * @param nowNanos current monotonic time in nanoseconds
          * @return the owner
          */
         public CellOwner takeOver(long nowNanos) {
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/ClientAsk.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/ClientAsk.java
@@ -3,23 +3,25 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One ask of a {@link CellClient}, from its start until it is refused, withdrawn or released. */
+/** State of one ask of a {@link CellClient}, until it is rejected, withdrawn, past its deadline or released. */
 final class ClientAsk {
-    /** Where an ask stands. */
+    /** Phase of an ask. */
     enum State {
-        /** Not known to have arrived at the owner. */
-        UNANSWERED,
-        /** Waits at the owner. */
+        /** Waits, not acknowledged by the owner. */
+        UNACKNOWLEDGED,
+        /** Waits in the owner's queue. */
         QUEUED,
-        /** Waits at the local arbiter. */
+        /** Waits in the local arbiter's queue. */
         LOCAL,
-        /** Has a worker. */
+        /** Has a grant. */
         GRANTED,
-        /** Its grant was ended by the arbiter; the embedder hasn't released it yet. */
+        /** The arbiter revoked its grant; the embedder has not released it yet. */
         PREEMPTED
     }
 
+    /** Lease end of local grants, which do not expire. */
     static final long NO_LEASE = Long.MAX_VALUE;
+
     private static final int MAX_DOUBLINGS = 3;
     private static final long NOT_ADOPTED = -1;
 
@@ -27,16 +29,16 @@
     private final long arrivalNanos;
     private final long deadlineNanos;
     private final byte[] terms;
-    private State state = State.UNANSWERED;
+    private State state = State.UNACKNOWLEDGED;
     private long lastSentNanos;
-    private int unansweredTimes;
+    private int sendAttempts;
     private GrantId grant;
     private String worker;
     private long leaseEndsNanos;
     private int units;
     private boolean used;
-    private Set<GrantId> returned = Set.of();
-    private long localNumber = NOT_ADOPTED;
+    private Set<GrantId> returnedGrants = Set.of();
+    private long localGrant = NOT_ADOPTED;
 
     ClientAsk(long number, long arrivalNanos, long deadlineNanos, byte[] terms) {
         this.number = number;
@@ -61,15 +63,15 @@
         return state;
     }
 
-    void becomes(State next) {
-        state = next;
+    void transitionTo(State newState) {
+        state = newState;
     }
 
-    boolean waits() {
-        return state == State.UNANSWERED || state == State.QUEUED || state == State.LOCAL;
+    boolean isWaiting() {
+        return state == State.UNACKNOWLEDGED || state == State.QUEUED || state == State.LOCAL;
     }
 
-    boolean deadlinePassed(long nowNanos) {
+    boolean isPastDeadline(long nowNanos) {
         return deadlineNanos - nowNanos <= 0;
     }
 
@@ -77,30 +79,30 @@
         return lastSentNanos;
     }
 
-    void sentAt(long nowNanos) {
+    void recordSend(long nowNanos) {
         lastSentNanos = nowNanos;
-        unansweredTimes++;
+        sendAttempts++;
     }
 
-    /** The owner has the ask. */
-    void queued() {
+    /** Records that the owner acknowledged the ask. */
+    void markQueued() {
         state = State.QUEUED;
-        unansweredTimes = 0;
+        sendAttempts = 0;
     }
 
     /**
-     * How long to wait for an answer: doubled with each repetition. An owner that is slow because it has too much to do
-     * would otherwise get each ask many times over, which makes it slower still.
+     * Exponential backoff: the timeout doubles with each retry, up to eight times the initial one. Without it, an overloaded owner would get each ask many
+     * times, which increases its load further.
      */
-    long timeoutNanos(long firstNanos) {
-        return firstNanos << Math.min(MAX_DOUBLINGS, Math.max(0, unansweredTimes - 1));
+    long retryTimeoutNanos(long initialNanos) {
+        return initialNanos << Math.min(MAX_DOUBLINGS, Math.max(0, sendAttempts - 1));
     }
 
-    void granted(GrantId by, String at, long endsNanos) {
+    void markGranted(GrantId newGrant, String assignedWorker, long endNanos) {
         state = State.GRANTED;
-        grant = by;
-        worker = at;
-        leaseEndsNanos = endsNanos;
+        grant = newGrant;
+        worker = assignedWorker;
+        leaseEndsNanos = endNanos;
     }
 
     GrantId grant() {
@@ -111,13 +113,13 @@
         return worker;
     }
 
-    boolean leaseEnded(long nowNanos) {
+    boolean isLeaseExpired(long nowNanos) {
         return leaseEndsNanos != NO_LEASE && leaseEndsNanos - nowNanos <= 0;
     }
 
-    void leaseUntil(long nanos) {
-        if (leaseEndsNanos != NO_LEASE && nanos - leaseEndsNanos > 0) {
-            leaseEndsNanos = nanos;
+    void extendLease(long endNanos) {
+        if (leaseEndsNanos != NO_LEASE && endNanos - leaseEndsNanos > 0) {
+            leaseEndsNanos = endNanos;
         }
     }
 
@@ -125,46 +127,46 @@
         return units;
     }
 
-    void progress(int done) {
-        units = done;
+    void recordProgress(int unitsDone) {
+        units = unitsDone;
     }
 
-    boolean used() {
+    boolean isUsed() {
         return used;
     }
 
-    void use() {
+    void markUsed() {
         used = true;
     }
 
     /**
-     * Notes a grant that goes back although the ask still waits. A second copy of it may arrive later, when the owner has
-     * given its place to another request already; taking that copy would put the worker above its capacity.
+     * Records a grant that was returned while the ask still waits. A duplicate of it may arrive after the owner has
+     * granted the slot to another request; accepting the duplicate would exceed the worker's capacity.
      */
-    void returned(GrantId refused) {
-        Set<GrantId> more = new HashSet<>(returned);
-        more.add(refused);
-        returned = more;
+    void recordReturned(GrantId returnedGrant) {
+        Set<GrantId> extended = new HashSet<>(returnedGrants);
+        extended.add(returnedGrant);
+        returnedGrants = extended;
     }
 
     boolean wasReturned(GrantId offered) {
-        return returned.contains(offered);
+        return returnedGrants.contains(offered);
     }
 
-    /** Whether the local arbiter counts this grant. */
-    boolean adopted() {
-        return localNumber != NOT_ADOPTED;
+    /** Whether the local arbiter counts the grant of this ask. */
+    boolean isAdopted() {
+        return localGrant != NOT_ADOPTED;
     }
 
-    long localNumber() {
-        return localNumber;
+    long localGrant() {
+        return localGrant;
     }
 
-    void adoptedAs(long arbiterNumber) {
-        localNumber = arbiterNumber;
+    void markAdopted(long arbiterGrant) {
+        localGrant = arbiterGrant;
     }
 
-    void disowned() {
-        localNumber = NOT_ADOPTED;
+    void clearAdopted() {
+        localGrant = NOT_ADOPTED;
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/Decision.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/Decision.java
@@ -1,30 +1,30 @@
 package org.dotterelcourse.coordination.grant;
 
-/** What an {@link Arbiter} has decided. */
+/** A decision of an {@link Arbiter}. */
 public sealed interface Decision {
     /**
      * The request may be sent to the worker.
      *
-     * @param askId the ask's id
-     * @param grant the grant's number, unique in the life of the arbiter
-     * @param worker the worker's name
+     * @param askId identifier of the ask
+     * @param grant number of the grant, unique within the lifetime of the arbiter
+     * @param worker name of the worker
      */
     record Granted(String askId, long grant, String worker) implements Decision {}
 
     /**
-     * The request won't be run by this cell.
+     * The request is rejected; this cell will not run it.
      *
-     * @param askId the ask's id
-     * @param reason a code that the embedder understands
-     * @param retryAfterNanos when it is worth asking again, from now
+     * @param askId identifier of the ask
+     * @param reason code that the embedder interprets
+     * @param retryAfterNanos time after which a retry is useful, in nanoseconds from now
      */
     record Refused(String askId, String reason, long retryAfterNanos) implements Decision {}
 
     /**
-     * The running request is to be stopped. The arbiter counts its grant as ended.
+     * The running request must be stopped. The arbiter considers its grant ended.
      *
-     * @param askId the ask's id
-     * @param grant the grant that ends
+     * @param askId identifier of the ask
+     * @param grant number of the revoked grant
      */
     record Preempted(String askId, long grant) implements Decision {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/FifoArbiter.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/FifoArbiter.java
@@ -9,29 +9,29 @@
 import java.util.Map;
 
 /**
- * The smallest useful arbiter: first in, first out, on the worker with the most free places. For embedders without a
- * policy of their own, for tests and for measurements.
+ * First-in, first-out arbiter that assigns requests to the worker with the most free slots. For embedders without a policy of their
+ * own, for tests and for measurements.
  */
 public final class FifoArbiter implements Arbiter {
-    /** The reason code of a refusal because the queue is full. */
+    /** Reason code of a rejection because the queue is full. */
     public static final String QUEUE_FULL = "QUEUE_FULL";
 
     private static final long RETRY_AFTER_NANOS = 1_000_000_000L;
 
-    private final Map<String, Integer> free = new LinkedHashMap<>();
+    private final Map<String, Integer> freeSlots = new LinkedHashMap<>();
     private final int maxWaiting;
     private final Deque<String> queue = new ArrayDeque<>();
     private final Map<Long, String> workerByGrant = new HashMap<>();
     private long lastGrant;
 
     /**
-     * Makes an arbiter.
+     * Creates an arbiter.
      *
-     * @param capacityByWorker how many requests each worker runs at once
-     * @param maxWaiting how many asks may wait
+     * @param capacityByWorker maximum number of concurrent requests by worker name
+     * @param maxWaiting maximum number of waiting asks
      */
     public FifoArbiter(Map<String, Integer> capacityByWorker, int maxWaiting) {
-        this.free.putAll(capacityByWorker);
+        this.freeSlots.putAll(capacityByWorker);
         this.maxWaiting = maxWaiting;
     }
 
@@ -41,7 +41,7 @@
             return List.of(new Decision.Refused(askId, QUEUE_FULL, RETRY_AFTER_NANOS));
         }
         queue.addLast(askId);
-        return drain();
+        return grantWaiting();
     }
 
     @Override
@@ -66,48 +66,48 @@
         if (worker == null) {
             return List.of();
         }
-        free.merge(worker, 1, Integer::sum);
-        return drain();
+        freeSlots.merge(worker, 1, Integer::sum);
+        return grantWaiting();
     }
 
     @Override
     public long adopt(String askId, String worker, long arrivalNanos, byte[] terms, long nowNanos) {
-        return take(worker);
+        return allocate(worker);
     }
 
     @Override
     public List<Decision> advance(long nowNanos) {
-        return drain();
+        return grantWaiting();
     }
 
-    private List<Decision> drain() {
+    private List<Decision> grantWaiting() {
         List<Decision> decisions = new ArrayList<>();
         while (!queue.isEmpty()) {
-            String worker = freest();
+            String worker = workerWithMostFreeSlots();
             if (worker == null) {
                 break;
             }
-            decisions.add(new Decision.Granted(queue.removeFirst(), take(worker), worker));
+            decisions.add(new Decision.Granted(queue.removeFirst(), allocate(worker), worker));
         }
         return decisions;
     }
 
-    private String freest() {
-        String best = null;
-        int most = 0;
-        for (Map.Entry<String, Integer> entry : free.entrySet()) {
-            if (entry.getValue() > most) {
-                best = entry.getKey();
-                most = entry.getValue();
+    private String workerWithMostFreeSlots() {
+        String bestWorker = null;
+        int bestSlots = 0;
+        for (Map.Entry<String, Integer> entry : freeSlots.entrySet()) {
+            if (entry.getValue() > bestSlots) {
+                bestWorker = entry.getKey();
+                bestSlots = entry.getValue();
             }
         }
-        return best;
+        return bestWorker;
     }
 
-    private long take(String worker) {
+    private long allocate(String worker) {
         lastGrant++;
         workerByGrant.put(lastGrant, worker);
-        free.merge(worker, -1, Integer::sum);
+        freeSlots.merge(worker, -1, Integer::sum);
         return lastGrant;
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantCheck.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantCheck.java
@@ -2,30 +2,30 @@
 
 import java.util.List;
 
-/** Whether a grant may be used now. Only {@link Usable} allows a byte to be sent to the worker. */
+/** Result of {@link CellClient#tryUse}. Only {@link Usable} allows the request to be sent to the worker. */
 public sealed interface GrantCheck {
     /**
-     * The request may be sent, this once.
+     * The request may be sent, once.
      *
-     * @param worker the worker's name
+     * @param worker name of the worker
      */
     record Usable(String worker) implements GrantCheck {}
 
     /**
-     * The lease may have ended at the owner. The grant goes back unused and the ask has ended; ask again with the
-     * original arrival.
+     * The lease may have expired at the owner. The grant is returned unused and the ask has ended; the caller should
+     * ask again with the original arrival time.
      *
-     * @param effects what to do
+     * @param effects actions that the embedder must carry out
      */
     record LeaseExpired(List<ClientEffect> effects) implements GrantCheck {}
 
     /**
-     * The request's deadline has passed. The grant goes back unused and the ask has ended.
+     * The request's deadline has passed. The grant is returned unused and the ask has ended.
      *
-     * @param effects what to do
+     * @param effects actions that the embedder must carry out
      */
     record DeadlinePassed(List<ClientEffect> effects) implements GrantCheck {}
 
-    /** The ask has ended, has no grant, or its grant was used before. */
+    /** The ask has ended, has no grant, or its grant was already used. */
     record NotHeld() implements GrantCheck {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantCodec.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantCodec.java
@@ -9,11 +9,11 @@
 import org.dotterelcourse.coordination.grant.generated.GrantProtos;
 import org.dotterelcourse.coordination.grant.generated.GrantProtos.GrantPacket;
 
-/** Encodes {@link GrantMessage} by Protocol Buffers; see {@code grants.proto}. */
+/** Encodes and decodes {@link GrantMessage} as Protocol Buffers, see {@code grants.proto}. */
 public final class GrantCodec {
     private GrantCodec() {}
 
-    /** The result of decoding. */
+    /** Result of decoding. */
     public sealed interface Decoded {
         /**
          * A well-formed message.
@@ -23,9 +23,9 @@
         record Message(GrantMessage message) implements Decoded {}
 
         /**
-         * Bytes that are no message of this protocol.
+         * Bytes that are not a valid message of this protocol.
          *
-         * @param reason what is wrong
+         * @param reason description of the error
          */
         record Malformed(String reason) implements Decoded {}
     }
@@ -34,7 +34,7 @@
      * Encodes a message.
      *
      * @param message the message
-     * @return the body for the channel {@code grants}
+     * @return the encoded message, a body of the peer channel {@code grants}
      */
     public static byte[] encode(GrantMessage message) {
         GrantPacket.Builder packet = GrantPacket.newBuilder().setCell(message.cell());
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Decodes a body of the channel {@code grants}.
+     * Decodes a message.
      *
-     * @param body the bytes
-     * @return the message, or why there is none
+     * @param body the encoded message, a body of the peer channel {@code grants}
+     * @return the message, or the reason why it is malformed
      */
     public static Decoded decode(byte[] body) {
         GrantPacket packet;
@@ -63,7 +63,7 @@
             return new Decoded.Malformed(e.getMessage());
         }
         if (packet.getBodyCase() == GrantPacket.BodyCase.BODY_NOT_SET) {
-            return new Decoded.Malformed("the packet has no known body");
+            return new Decoded.Malformed("grant packet has no body of a known type");
         }
         if (packet.getBodyCase().getNumber() < GrantPacket.QUEUED_FIELD_NUMBER) {
             return new Decoded.Message(new ToOwner(
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantId.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantId.java
@@ -1,9 +1,10 @@
 package org.dotterelcourse.coordination.grant;
 
 /**
- * Names one grant for as long as anybody remembers it.
+ * Identifier of a grant, unique across all owners and clients of a cell.
  *
- * @param term drawn at random by each owner when it takes over, and by each asker for its local mode
- * @param number unique and rising within the term
+ * @param term random number that each owner draws when it takes over the cell, and each client for the grants of its
+ *     local mode
+ * @param number unique and increasing within the term
  */
 public record GrantId(long term, long number) {}
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantMessage.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantMessage.java
@@ -3,165 +3,169 @@
 import java.util.List;
 
 /**
- * A message about one cell between an asker and its owner. An ask is named by a number that rises within the life of
- * the asker's process.
+ * A message about one cell between a client and the cell's owner. An ask is identified by a number that increases within
+ * one incarnation of the client's process.
+ *
+ * <p>Clocks of daemons are not synchronized. Messages therefore carry ages and durations, and timestamps of the client's
+ * own clock that the owner echoes.
  */
 public sealed interface GrantMessage {
     /**
-     * The cell's name.
+     * Name of the cell.
      *
      * @return the name
      */
     String cell();
 
     /**
-     * From an asker to the owner.
+     * Message from a client to the owner.
      *
-     * @param cell the cell's name
-     * @param life the incarnation with which the asker's process started; it doesn't rise when the process refutes a
-     *     suspicion, because its grants go on then
-     * @param stampNanos the asker's clock at sending, echoed by the owner and never compared with another clock
-     * @param body what is said
+     * @param cell name of the cell
+     * @param life incarnation number with which the client's process started; it does not increase when the process
+     *     refutes a suspicion, because its grants remain valid then
+     * @param stampNanos monotonic time of the client at sending, in nanoseconds; the owner echoes it and never compares
+     *     it with another clock
+     * @param body the request
      */
     record ToOwner(String cell, long life, long stampNanos, Request body) implements GrantMessage {}
 
     /**
-     * From an owner to an asker.
+     * Message from an owner to a client.
      *
-     * @param cell the cell's name
-     * @param life the life of the asker that is meant
-     * @param term the owner's term; 0 from a daemon that isn't the owner
-     * @param stampNanos the newest stamp that the owner has seen of this asker
-     * @param sinceStampNanos how long before sending that stamp arrived, in nanoseconds
-     * @param body what is said
+     * @param cell name of the cell
+     * @param life incarnation number of the client that the message is meant for
+     * @param term the owner's term; 0 from a daemon that is not the owner
+     * @param stampNanos latest {@link ToOwner#stampNanos} that the owner has received from this client
+     * @param sinceStampNanos time between the arrival of that stamp and the sending of this message, in nanoseconds
+     * @param body the reply
      */
     record ToClient(String cell, long life, long term, long stampNanos, long sinceStampNanos, Reply body)
             implements GrantMessage {}
 
-    /** What an asker says. */
+    /** Body of a message from a client. */
     sealed interface Request {}
 
-    /** What an owner says. */
+    /** Body of a message from an owner. */
     sealed interface Reply {}
 
     /**
-     * Asks for a worker; also sent again for the same ask while it is unanswered.
+     * Asks for a worker. Sent again with the same number while it is unanswered.
      *
-     * @param ask the ask's number
-     * @param ageNanos how long ago the request arrived
-     * @param terms the embedder's payload
+     * @param ask number of the ask
+     * @param ageNanos time since the request arrived at the client, in nanoseconds
+     * @param terms opaque payload of the embedder that describes the request to the arbiter
      */
     record Ask(long ask, long ageNanos, byte[] terms) implements Request {}
 
     /**
-     * A waiting ask is no longer wanted.
+     * Cancels a waiting ask.
      *
-     * @param ask the ask's number
+     * @param ask number of the ask
      */
     record Withdraw(long ask) implements Request {}
 
     /**
-     * A grant that the asker holds.
+     * A grant that the client holds.
      *
-     * @param ask the ask's number
+     * @param ask number of the ask
      * @param grant the grant
-     * @param units how much has been done so far
+     * @param units progress of the request so far, for instance output tokens
      */
     record Held(long ask, GrantId grant, int units) {}
 
     /**
-     * Renews everything that the asker holds or waits for, and serves as its heartbeat.
+     * Renews the leases of all grants and waiting asks of the client, and serves as its heartbeat.
      *
-     * @param held the grants
-     * @param waiting the numbers of the asks that wait
+     * @param held the grants that the client holds
+     * @param waiting numbers of the waiting asks
      */
     record Renew(List<Held> held, List<Long> waiting) implements Request {}
 
     /**
      * Ends a grant.
      *
-     * @param ask the ask's number
+     * @param ask number of the ask
      * @param grant the grant
-     * @param observation the embedder's payload; empty if the grant was never used
+     * @param observation opaque payload of the embedder for the arbiter; empty if the grant was never used
      */
     record Release(long ask, GrantId grant, byte[] observation) implements Request {}
 
     /**
-     * A grant in full, for an owner that may not know it.
+     * Full description of a grant for an owner that may not have it.
      *
      * @param held the grant
-     * @param worker the worker's name
-     * @param ageNanos how long ago the request arrived
-     * @param terms the embedder's payload
+     * @param worker name of the worker
+     * @param ageNanos time since the request arrived at the client, in nanoseconds
+     * @param terms opaque payload of the embedder that describes the request to the arbiter
      */
     record Outstanding(Held held, String worker, long ageNanos, byte[] terms) {}
 
     /**
-     * Tells a new owner what the asker holds and waits for, in one or several parts.
+     * Registers the client's grants and waiting asks with a new owner, in one or several parts.
      *
-     * @param registration the registration's number, rising
-     * @param part which part, from 0
-     * @param parts how many there are
-     * @param grants grants of earlier owners, or of local mode
+     * @param registration number of the registration, increasing
+     * @param part index of this part, from 0
+     * @param parts number of parts
+     * @param grants grants of earlier owners or of local mode
      * @param asks asks that wait
      */
     record Reregister(long registration, int part, int parts, List<Outstanding> grants, List<Ask> asks)
             implements Request {}
 
     /**
-     * The ask has arrived and waits.
+     * Acknowledges an ask that has to wait.
      *
-     * @param ask the ask's number
+     * @param ask number of the ask
      */
     record Queued(long ask) implements Reply {}
 
     /**
-     * The request may be sent to a worker.
+     * Grants a worker to an ask.
      *
-     * @param ask the ask's number
+     * @param ask number of the ask
      * @param grant the grant
-     * @param worker the worker's name
-     * @param leaseNanos the lease's length, counted from sending
+     * @param worker name of the worker
+     * @param leaseNanos duration of the lease in nanoseconds, counted from the sending of this message
      */
     record Granted(long ask, GrantId grant, String worker, long leaseNanos) implements Reply {}
 
     /**
-     * The request won't be run by this cell.
+     * Rejects an ask: this cell will not run the request.
      *
-     * @param ask the ask's number
-     * @param reason a code that the embedder understands
-     * @param retryAfterNanos when it is worth asking again, from now
+     * @param ask number of the ask
+     * @param reason code that the embedder interprets
+     * @param retryAfterNanos time after which a retry is useful, in nanoseconds from now
      */
     record Refused(long ask, String reason, long retryAfterNanos) implements Reply {}
 
     /**
-     * The running request is to be stopped.
+     * Revokes a grant; the client must stop the running request.
      *
-     * @param ask the ask's number
-     * @param grant the grant that ends
+     * @param ask number of the ask
+     * @param grant the revoked grant
      */
     record Preempted(long ask, GrantId grant) implements Reply {}
 
     /**
      * Answers {@link Renew}.
      *
-     * @param leaseNanos the lease's length, counted from the echoed stamp
-     * @param unknown numbers of renewed asks and grants that the owner doesn't know
+     * @param leaseNanos duration of the leases in nanoseconds, counted from the echoed stamp
+     * @param unknown ask numbers of the renewed grants and asks that the owner does not have
      */
     record Renewed(long leaseNanos, List<Long> unknown) implements Reply {}
 
     /**
-     * Answers one part of {@link Reregister}.
+     * Acknowledges one part of {@link Reregister}.
      *
-     * @param registration the registration's number
-     * @param part which part
+     * @param registration number of the registration
+     * @param part index of the part
      */
     record Registered(long registration, int part) implements Reply {}
 
     /**
-     * The daemon that was addressed doesn't own the cell.
+     * Sent by a daemon that does not own the cell.
      *
-     * @param owner who does, as far as it knows; else empty
+     * @param owner member name of the owner; empty if the daemon does not know it
      */
     record NotOwner(String owner) implements Reply {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantRequests.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantRequests.java
@@ -6,7 +6,7 @@
 import org.dotterelcourse.coordination.grant.generated.GrantProtos;
 import org.dotterelcourse.coordination.grant.generated.GrantProtos.GrantPacket;
 
-/** The requests' half of {@link GrantCodec}. */
+/** Encodes and decodes the messages of clients for {@link GrantCodec}. */
 final class GrantRequests {
     private GrantRequests() {}
 
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerLedger.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/GrantTable.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The owner's table of asks and grants, kept in step with its arbiter. */
-final class OwnerLedger {
-    private static final int LEASES_BEFORE_A_SESSION_IS_FORGOTTEN = 20;
+/** Owner's table of asks and grants. Passes their changes to the arbiter and applies its decisions. */
+final class GrantTable {
+    private static final int SESSION_RETENTION_LEASES = 20;
 
     private final String cell;
     private final GrantSettings settings;
@@ -16,9 +16,9 @@
     private final long term;
     private final Map<String, OwnerSession> sessions = new HashMap<>();
     private final Map<String, OwnerEntry> entries = new HashMap<>();
-    private int held;
+    private int buffered;
 
-    OwnerLedger(String cell, GrantSettings settings, Arbiter arbiter, long term) {
+    GrantTable(String cell, GrantSettings settings, Arbiter arbiter, long term) {
         this.cell = cell;
         this.settings = settings;
         this.arbiter = arbiter;
@@ -29,9 +29,9 @@
         return entries.size();
     }
 
-    /** How many asks are held back from the arbiter. */
-    int held() {
-        return held;
+    /** Number of asks that arrived while the owner settles and were not offered to the arbiter yet. */
+    int buffered() {
+        return buffered;
     }
 
     List<OwnerSession> sessions() {
@@ -48,24 +48,24 @@
         return leases;
     }
 
-    boolean holds(OwnerEntry entry) {
-        return entries.get(entry.arbiterId()) == entry;
+    boolean contains(OwnerEntry entry) {
+        return entries.get(entry.askId()) == entry;
     }
 
     void clear() {
         sessions.clear();
         entries.clear();
-        held = 0;
+        buffered = 0;
     }
 
-    /** The session of this life of the asker; null if the message is from an earlier life. */
-    OwnerSession session(String from, long life, long nowNanos, List<OwnerEffect> effects) {
+    /** Session of this incarnation of the client; null if the message is from an earlier incarnation. */
+    OwnerSession sessionFor(String from, long life, long nowNanos, List<OwnerEffect> effects) {
         OwnerSession session = sessions.get(from);
         if (session != null && life < session.life()) {
             return null;
         }
         if (session != null && life > session.life()) {
-            // A restarted process runs nothing of what its earlier life was granted, and has lost the callers.
+            // The requests of a restarted process no longer run, and their callers are disconnected.
             for (OwnerEntry entry : List.copyOf(session.entries().values())) {
                 end(session, entry, nowNanos, effects);
             }
@@ -79,35 +79,35 @@
     }
 
     void offer(OwnerEntry entry, long nowNanos, List<OwnerEffect> effects) {
-        byte[] terms = entry.handOver();
-        carryOut(arbiter.offer(entry.arbiterId(), entry.arrivalNanos(), terms, nowNanos), nowNanos, effects);
+        byte[] terms = entry.takeTerms();
+        apply(arbiter.offer(entry.askId(), entry.arrivalNanos(), terms, nowNanos), nowNanos, effects);
     }
 
-    /** Ends what its asker has not renewed in time, and forgets askers that have been silent for long. */
+    /** Ends entries that were not renewed in time, and removes empty sessions of clients that were inactive for long. */
     void expire(long nowNanos, List<OwnerEffect> effects) {
         for (OwnerEntry entry : List.copyOf(entries.values())) {
-            if (entry.expiredAt(nowNanos) && entries.get(entry.arbiterId()) == entry) {
+            if (entry.isExpired(nowNanos) && entries.get(entry.askId()) == entry) {
                 if (entry.state() == OwnerEntry.State.GRANTED) {
-                    effects.add(new OwnerEffect.LeaseExpired(entry.asker(), entry.grant(), entry.worker()));
+                    effects.add(new OwnerEffect.LeaseExpired(entry.client(), entry.grant(), entry.worker()));
                 }
-                end(sessions.get(entry.asker()), entry, nowNanos, effects);
+                end(sessions.get(entry.client()), entry, nowNanos, effects);
             }
         }
-        long forgetNanos = LEASES_BEFORE_A_SESSION_IS_FORGOTTEN * settings.leaseNanos();
+        long retentionNanos = SESSION_RETENTION_LEASES * settings.leaseNanos();
         sessions.values()
-                .removeIf(session -> session.entries().isEmpty() && session.sinceStampNanos(nowNanos) > forgetNanos);
+                .removeIf(session -> session.entries().isEmpty() && session.sinceStampNanos(nowNanos) > retentionNanos);
     }
 
-    /** Offers the asks that were held back, oldest first. */
-    void offerHeld(long nowNanos, List<OwnerEffect> effects) {
+    /** Offers the buffered asks to the arbiter, oldest first. */
+    void offerBuffered(long nowNanos, List<OwnerEffect> effects) {
         List<OwnerEntry> waiting = new ArrayList<>();
         for (OwnerEntry entry : entries.values()) {
-            if (entry.state() == OwnerEntry.State.HELD) {
+            if (entry.state() == OwnerEntry.State.BUFFERED) {
                 waiting.add(entry);
             }
         }
-        waiting.sort(Comparator.comparingLong(OwnerEntry::arrivalNanos).thenComparing(OwnerEntry::arbiterId));
-        held = 0;
+        waiting.sort(Comparator.comparingLong(OwnerEntry::arrivalNanos).thenComparing(OwnerEntry::askId));
+        buffered = 0;
         for (OwnerEntry entry : waiting) {
             offer(entry, nowNanos, effects);
         }
@@ -117,37 +117,37 @@
         OwnerEntry.State state = entry.state();
         remove(session, entry);
         if (state == OwnerEntry.State.GRANTED) {
-            carryOut(arbiter.expire(entry.arbiterGrant(), nowNanos), nowNanos, effects);
+            apply(arbiter.expire(entry.arbiterGrant(), nowNanos), nowNanos, effects);
         } else if (state == OwnerEntry.State.WAITING) {
-            carryOut(arbiter.withdraw(entry.arbiterId(), nowNanos), nowNanos, effects);
+            apply(arbiter.withdraw(entry.askId(), nowNanos), nowNanos, effects);
         }
     }
 
     void add(OwnerSession session, OwnerEntry entry, long nowNanos) {
-        entry.renewUntil(nowNanos + settings.leaseNanos());
+        entry.extendLease(nowNanos + settings.leaseNanos());
         session.entries().put(entry.ask(), entry);
-        entries.put(entry.arbiterId(), entry);
-        if (entry.state() == OwnerEntry.State.HELD) {
-            held++;
+        entries.put(entry.askId(), entry);
+        if (entry.state() == OwnerEntry.State.BUFFERED) {
+            buffered++;
         }
     }
 
     void remove(OwnerSession session, OwnerEntry entry) {
-        if (entry.state() == OwnerEntry.State.HELD) {
-            held--;
+        if (entry.state() == OwnerEntry.State.BUFFERED) {
+            buffered--;
         }
         session.entries().remove(entry.ask());
-        entries.remove(entry.arbiterId());
+        entries.remove(entry.askId());
     }
 
-    void carryOut(List<Decision> decisions, long nowNanos, List<OwnerEffect> effects) {
+    void apply(List<Decision> decisions, long nowNanos, List<OwnerEffect> effects) {
         for (Decision decision : decisions) {
             if (decision instanceof Decision.Granted granted) {
                 grant(granted, nowNanos, effects);
             } else if (decision instanceof Decision.Refused refused) {
                 OwnerEntry entry = entries.get(refused.askId());
                 if (entry != null) {
-                    OwnerSession session = sessions.get(entry.asker());
+                    OwnerSession session = sessions.get(entry.client());
                     remove(session, entry);
                     send(
                             session,
@@ -158,7 +158,7 @@
             } else if (decision instanceof Decision.Preempted preempted) {
                 OwnerEntry entry = entries.get(preempted.askId());
                 if (entry != null) {
-                    OwnerSession session = sessions.get(entry.asker());
+                    OwnerSession session = sessions.get(entry.client());
                     remove(session, entry);
                     send(session, new GrantMessage.Preempted(entry.ask(), entry.grant()), nowNanos, effects);
                 }
@@ -169,16 +169,16 @@
     private void grant(Decision.Granted granted, long nowNanos, List<OwnerEffect> effects) {
         OwnerEntry entry = entries.get(granted.askId());
         if (entry == null) {
-            carryOut(arbiter.expire(granted.grant(), nowNanos), nowNanos, effects);
+            apply(arbiter.expire(granted.grant(), nowNanos), nowNanos, effects);
             return;
         }
-        entry.granted(new GrantId(term, granted.grant()), granted.grant(), granted.worker());
-        entry.renewUntil(nowNanos + settings.leaseNanos());
-        sendGranted(sessions.get(entry.asker()), entry, nowNanos, effects);
+        entry.markGranted(new GrantId(term, granted.grant()), granted.grant(), granted.worker());
+        entry.extendLease(nowNanos + settings.leaseNanos());
+        sendGranted(sessions.get(entry.client()), entry, nowNanos, effects);
     }
 
     void sendGranted(OwnerSession session, OwnerEntry entry, long nowNanos, List<OwnerEffect> effects) {
-        entry.renewUntil(nowNanos + settings.leaseNanos());
+        entry.extendLease(nowNanos + settings.leaseNanos());
         GrantMessage.Granted message =
                 new GrantMessage.Granted(entry.ask(), entry.grant(), entry.worker(), settings.leaseNanos());
         send(session, message, nowNanos, effects);
@@ -187,6 +187,6 @@
     void send(OwnerSession session, GrantMessage.Reply reply, long nowNanos, List<OwnerEffect> effects) {
         GrantMessage.ToClient message = new GrantMessage.ToClient(
                 cell, session.life(), term, session.stampNanos(), session.sinceStampNanos(nowNanos), reply);
-        effects.add(new OwnerEffect.Send(session.asker(), message));
+        effects.add(new OwnerEffect.Send(session.client(), message));
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/LocalMode.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/LocalMode.java
@@ -4,53 +4,53 @@
 import java.util.List;
 
 /**
- * Grants by the asker's own arbiter while no owner can be reached. The arbiter is empty outside local mode; on entry it
- * adopts the grants that are still held, so that they count against the asker's fraction of the capacity.
+ * Grants requests by the client's own arbiter while no owner answers. The arbiter is empty outside local mode. On entry
+ * it adopts the grants that the client still holds, so that they count against the client's fraction of the capacity.
  */
 final class LocalMode {
     private final Arbiter arbiter;
     private final long term;
-    private final ClientBook book;
+    private final AskTable asks;
     private boolean active;
 
-    LocalMode(Arbiter arbiter, long term, ClientBook book) {
+    LocalMode(Arbiter arbiter, long term, AskTable asks) {
         this.arbiter = arbiter;
         this.term = term;
-        this.book = book;
+        this.asks = asks;
     }
 
-    boolean active() {
+    boolean isActive() {
         return active;
     }
 
     void enter(long nowNanos, List<ClientEffect> effects) {
         active = true;
         effects.add(new ClientEffect.LocalMode(true));
-        for (ClientAsk ask : book.all()) {
+        for (ClientAsk ask : asks.snapshot()) {
             if (ask.state() == ClientAsk.State.GRANTED) {
-                ask.adoptedAs(arbiter.adopt(id(ask), ask.worker(), ask.arrivalNanos(), ask.terms(), nowNanos));
+                ask.markAdopted(arbiter.adopt(askId(ask), ask.worker(), ask.arrivalNanos(), ask.terms(), nowNanos));
             }
         }
-        for (ClientAsk ask : book.all()) {
-            if (ask.waits()) {
+        for (ClientAsk ask : asks.snapshot()) {
+            if (ask.isWaiting()) {
                 offer(ask, nowNanos, effects);
             }
         }
     }
 
-    /** Empties the arbiter. Waiting asks come first, so that none of them is granted by what is freed. */
+    /** Empties the arbiter. Waiting asks are withdrawn first, so that ending the grants does not grant any of them. */
     void leave(long nowNanos, List<ClientEffect> effects) {
-        for (ClientAsk ask : book.all()) {
+        for (ClientAsk ask : asks.snapshot()) {
             if (ask.state() == ClientAsk.State.LOCAL) {
-                ask.becomes(ClientAsk.State.UNANSWERED);
-                carryOut(arbiter.withdraw(id(ask), nowNanos), nowNanos, effects);
+                ask.transitionTo(ClientAsk.State.UNACKNOWLEDGED);
+                apply(arbiter.withdraw(askId(ask), nowNanos), nowNanos, effects);
             }
         }
-        for (ClientAsk ask : book.all()) {
-            if (ask.adopted()) {
-                long number = ask.localNumber();
-                ask.disowned();
-                carryOut(arbiter.expire(number, nowNanos), nowNanos, effects);
+        for (ClientAsk ask : asks.snapshot()) {
+            if (ask.isAdopted()) {
+                long localGrant = ask.localGrant();
+                ask.clearAdopted();
+                apply(arbiter.expire(localGrant, nowNanos), nowNanos, effects);
             }
         }
         active = false;
@@ -58,47 +58,47 @@
     }
 
     void offer(ClientAsk ask, long nowNanos, List<ClientEffect> effects) {
-        ask.becomes(ClientAsk.State.LOCAL);
-        carryOut(arbiter.offer(id(ask), ask.arrivalNanos(), ask.terms(), nowNanos), nowNanos, effects);
+        ask.transitionTo(ClientAsk.State.LOCAL);
+        apply(arbiter.offer(askId(ask), ask.arrivalNanos(), ask.terms(), nowNanos), nowNanos, effects);
     }
 
     void withdraw(ClientAsk ask, long nowNanos, List<ClientEffect> effects) {
-        carryOut(arbiter.withdraw(id(ask), nowNanos), nowNanos, effects);
+        apply(arbiter.withdraw(askId(ask), nowNanos), nowNanos, effects);
     }
 
     void release(ClientAsk ask, byte[] observation, long nowNanos, List<ClientEffect> effects) {
-        if (ask.adopted()) {
-            long number = ask.localNumber();
-            ask.disowned();
-            carryOut(arbiter.release(number, observation, nowNanos), nowNanos, effects);
+        if (ask.isAdopted()) {
+            long localGrant = ask.localGrant();
+            ask.clearAdopted();
+            apply(arbiter.release(localGrant, observation, nowNanos), nowNanos, effects);
         }
     }
 
-    void progress(ClientAsk ask, long nowNanos, List<ClientEffect> effects) {
-        if (ask.adopted()) {
-            carryOut(arbiter.progress(ask.localNumber(), ask.units(), nowNanos), nowNanos, effects);
+    void recordProgress(ClientAsk ask, long nowNanos, List<ClientEffect> effects) {
+        if (ask.isAdopted()) {
+            apply(arbiter.progress(ask.localGrant(), ask.units(), nowNanos), nowNanos, effects);
         }
     }
 
     void advance(long nowNanos, List<ClientEffect> effects) {
-        carryOut(arbiter.advance(nowNanos), nowNanos, effects);
+        apply(arbiter.advance(nowNanos), nowNanos, effects);
     }
 
-    private void carryOut(List<Decision> decisions, long nowNanos, List<ClientEffect> effects) {
+    private void apply(List<Decision> decisions, long nowNanos, List<ClientEffect> effects) {
         for (Decision decision : new ArrayList<>(decisions)) {
             if (decision instanceof Decision.Granted granted) {
                 grant(granted, nowNanos, effects);
             } else if (decision instanceof Decision.Refused refused) {
-                ClientAsk ask = waiting(refused.askId());
+                ClientAsk ask = findWaiting(refused.askId());
                 if (ask != null) {
-                    book.asks().remove(ask.number());
+                    asks.byNumber().remove(ask.number());
                     effects.add(new ClientEffect.Refused(ask.number(), refused.reason(), refused.retryAfterNanos()));
                 }
             } else if (decision instanceof Decision.Preempted preempted) {
-                ClientAsk ask = book.find(number(preempted.askId()));
+                ClientAsk ask = asks.find(askNumber(preempted.askId()));
                 if (ask != null && ask.state() == ClientAsk.State.GRANTED) {
-                    ask.becomes(ClientAsk.State.PREEMPTED);
-                    ask.disowned();
+                    ask.transitionTo(ClientAsk.State.PREEMPTED);
+                    ask.clearAdopted();
                     effects.add(new ClientEffect.Preempted(ask.number(), ask.grant()));
                 }
             }
@@ -106,26 +106,26 @@
     }
 
     private void grant(Decision.Granted granted, long nowNanos, List<ClientEffect> effects) {
-        ClientAsk ask = waiting(granted.askId());
+        ClientAsk ask = findWaiting(granted.askId());
         if (ask == null) {
-            carryOut(arbiter.expire(granted.grant(), nowNanos), nowNanos, effects);
+            apply(arbiter.expire(granted.grant(), nowNanos), nowNanos, effects);
             return;
         }
-        ask.granted(new GrantId(term, granted.grant()), granted.worker(), ClientAsk.NO_LEASE);
-        ask.adoptedAs(granted.grant());
+        ask.markGranted(new GrantId(term, granted.grant()), granted.worker(), ClientAsk.NO_LEASE);
+        ask.markAdopted(granted.grant());
         effects.add(new ClientEffect.Granted(ask.number(), ask.grant(), ask.worker()));
     }
 
-    private ClientAsk waiting(String id) {
-        ClientAsk ask = book.find(number(id));
+    private ClientAsk findWaiting(String askId) {
+        ClientAsk ask = asks.find(askNumber(askId));
         return ask != null && ask.state() == ClientAsk.State.LOCAL ? ask : null;
     }
 
-    private static String id(ClientAsk ask) {
+    private static String askId(ClientAsk ask) {
         return Long.toString(ask.number());
     }
 
-    private static long number(String id) {
-        return Long.parseLong(id);
+    private static long askNumber(String askId) {
+        return Long.parseLong(askId);
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerEffect.java
@@ -1,29 +1,29 @@
 package org.dotterelcourse.coordination.grant;
 
-/** What the embedder of a {@link CellOwner} has to do. */
+/** An action that the embedder of a {@link CellOwner} must carry out. */
 public sealed interface OwnerEffect {
     /**
-     * Send a message; to the owner's own asker as well.
+     * Send a message. The receiver may be the client in the same process.
      *
-     * @param to the asker's member name
+     * @param to member name of the client
      * @param message the message
      */
     record Send(String to, GrantMessage.ToClient message) implements OwnerEffect {}
 
     /**
-     * A lease ended without a release, for the audit trail and the metrics.
+     * A lease expired without a release. For the audit trail and the metrics.
      *
-     * @param asker the asker's member name
+     * @param client member name of the client
      * @param grant the grant
-     * @param worker the worker's name
+     * @param worker name of the worker
      */
-    record LeaseExpired(String asker, GrantId grant, String worker) implements OwnerEffect {}
+    record LeaseExpired(String client, GrantId grant, String worker) implements OwnerEffect {}
 
     /**
-     * The owner has begun to grant, for the audit trail.
+     * The owner has settled and begins to grant. For the audit trail.
      *
-     * @param adopted how many grants of earlier owners were registered
-     * @param missing how many expected askers didn't register in time
+     * @param adopted number of grants of earlier owners that clients registered
+     * @param missing number of expected clients that did not register in time
      */
     record Settled(int adopted, int missing) implements OwnerEffect {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerEntry.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerEntry.java
@@ -1,46 +1,46 @@
 package org.dotterelcourse.coordination.grant;
 
-/** One ask that the owner holds, from its arrival until it is refused or its grant ends. */
+/** Owner's state of one ask, from its arrival until it is withdrawn or rejected, or its grant ends. */
 final class OwnerEntry {
-    /** Where an entry stands. */
+    /** Phase of an entry. */
     enum State {
-        /** Arrived while the owner settles; the arbiter doesn't know it yet. */
-        HELD,
-        /** Waits at the arbiter. */
+        /** Arrived while the owner settles; not offered to the arbiter yet. */
+        BUFFERED,
+        /** Waits in the arbiter's queue. */
         WAITING,
-        /** Has a worker. */
+        /** Has a grant. */
         GRANTED
     }
 
-    private final String asker;
+    private final String client;
     private final long ask;
-    private final String arbiterId;
+    private final String askId;
     private final long arrivalNanos;
     private byte[] terms;
-    private State state = State.HELD;
+    private State state = State.BUFFERED;
     private GrantId grant;
     private long arbiterGrant;
     private String worker;
     private long expiresNanos;
 
-    OwnerEntry(String asker, long life, long ask, long arrivalNanos, byte[] terms) {
-        this.asker = asker;
+    OwnerEntry(String client, long life, long ask, long arrivalNanos, byte[] terms) {
+        this.client = client;
         this.ask = ask;
-        this.arbiterId = asker + '/' + Long.toHexString(life) + '/' + ask;
+        this.askId = client + '/' + Long.toHexString(life) + '/' + ask;
         this.arrivalNanos = arrivalNanos;
         this.terms = terms;
     }
 
-    String asker() {
-        return asker;
+    String client() {
+        return client;
     }
 
     long ask() {
         return ask;
     }
 
-    String arbiterId() {
-        return arbiterId;
+    String askId() {
+        return askId;
     }
 
     long arrivalNanos() {
@@ -63,27 +63,27 @@
         return worker;
     }
 
-    boolean expiredAt(long nowNanos) {
+    boolean isExpired(long nowNanos) {
         return expiresNanos - nowNanos <= 0;
     }
 
-    void renewUntil(long nanos) {
-        expiresNanos = nanos;
+    void extendLease(long endNanos) {
+        expiresNanos = endNanos;
     }
 
-    /** Marks it as waiting and gives the terms away: from here on the arbiter keeps what it needs of them. */
-    byte[] handOver() {
-        byte[] handed = terms;
+    /** Marks the entry as waiting and removes the terms from it; the arbiter keeps the parts of them that it needs. */
+    byte[] takeTerms() {
+        byte[] taken = terms;
         terms = null;
         state = State.WAITING;
-        return handed;
+        return taken;
     }
 
-    void granted(GrantId by, long arbiterNumber, String at) {
+    void markGranted(GrantId newGrant, long newArbiterGrant, String assignedWorker) {
         terms = null;
         state = State.GRANTED;
-        grant = by;
-        arbiterGrant = arbiterNumber;
-        worker = at;
+        grant = newGrant;
+        arbiterGrant = newArbiterGrant;
+        worker = assignedWorker;
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerLink.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerLink.java
@@ -4,35 +4,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a client has told the current owner, and what of that is still unanswered. */
+/** Sends a client's messages to the current owner, and tracks registrations and answers that are pending. */
 final class OwnerLink {
-    private static final long NOTHING_UNANSWERED = Long.MIN_VALUE;
+    private static final long NO_PENDING_ANSWER = Long.MIN_VALUE;
     private static final long NO_TERM = 0;
 
     private final String cell;
     private final long life;
     private final GrantSettings settings;
-    private final ClientBook book;
-    private final Map<Integer, GrantMessage.Reregister> unconfirmed = new HashMap<>();
+    private final AskTable asks;
+    private final Map<Integer, GrantMessage.Reregister> unconfirmedParts = new HashMap<>();
     private String owner = "";
     private long registeredTerm = NO_TERM;
     private long registration;
     private long registrationSentNanos;
-    private long unansweredSinceNanos = NOTHING_UNANSWERED;
+    private long pendingAnswerSinceNanos = NO_PENDING_ANSWER;
 
-    OwnerLink(String cell, long life, GrantSettings settings, ClientBook book) {
+    OwnerLink(String cell, long life, GrantSettings settings, AskTable asks) {
         this.cell = cell;
         this.life = life;
         this.settings = settings;
-        this.book = book;
+        this.asks = asks;
     }
 
     boolean isOwner(String member) {
         return !owner.isEmpty() && member.equals(owner);
     }
 
-    /** Whether the message is from the term that has confirmed our registration. */
-    boolean inTerm(String from, GrantMessage.ToClient message) {
+    /** Whether the message is from the owner's term that acknowledged the registration of this client. */
+    boolean isFromRegisteredTerm(String from, GrantMessage.ToClient message) {
         return isOwner(from) && registeredTerm != NO_TERM && message.term() == registeredTerm;
     }
 
@@ -43,84 +43,84 @@
         register(nowNanos, effects);
     }
 
-    /** Notes an answer from the current owner, and registers with it if it doesn't know us. */
-    void answered(GrantMessage.ToClient message, long nowNanos, List<ClientEffect> effects) {
-        unansweredSinceNanos = NOTHING_UNANSWERED;
+    /** Handles an answer of the current owner, and registers with it if its term has no registration of this client. */
+    void onAnswer(GrantMessage.ToClient message, long nowNanos, List<ClientEffect> effects) {
+        pendingAnswerSinceNanos = NO_PENDING_ANSWER;
         if (message.body() instanceof GrantMessage.Registered registered) {
-            confirmed(message.term(), registered);
-        } else if (message.term() != registeredTerm && unconfirmed.isEmpty()) {
-            // The owner restarted under the same name and knows nothing of us; without this, its workers would look
-            // free to it while our requests run there.
+            onRegistered(message.term(), registered);
+        } else if (message.term() != registeredTerm && unconfirmedParts.isEmpty()) {
+            // The owner restarted under the same name and lost its state. Without the registration, it would treat
+            // workers as free that run requests of this client.
             register(nowNanos, effects);
         }
     }
 
-    /** Tells the owner everything. Asks count as unanswered until it has confirmed them. */
+    /** Registers all grants and waiting asks with the owner. Asks are unacknowledged until it confirms them. */
     void register(long nowNanos, List<ClientEffect> effects) {
-        unconfirmed.clear();
-        for (ClientAsk ask : book.asks().values()) {
+        unconfirmedParts.clear();
+        for (ClientAsk ask : asks.byNumber().values()) {
             if (ask.state() == ClientAsk.State.QUEUED) {
-                ask.becomes(ClientAsk.State.UNANSWERED);
+                ask.transitionTo(ClientAsk.State.UNACKNOWLEDGED);
             }
-            ask.sentAt(nowNanos);
+            ask.recordSend(nowNanos);
         }
         if (owner.isEmpty()) {
             return;
         }
         registration++;
         registrationSentNanos = nowNanos;
-        for (GrantMessage.Reregister part : book.registration(registration, nowNanos)) {
-            unconfirmed.put(part.part(), part);
+        for (GrantMessage.Reregister part : asks.registrationMessages(registration, nowNanos)) {
+            unconfirmedParts.put(part.part(), part);
             send(owner, part, nowNanos, effects);
         }
         expectAnswer(nowNanos);
     }
 
     void ask(ClientAsk ask, long nowNanos, List<ClientEffect> effects) {
-        ask.becomes(ClientAsk.State.UNANSWERED);
-        ask.sentAt(nowNanos);
-        tell(ClientBook.ask(ask, nowNanos), nowNanos, effects);
+        ask.transitionTo(ClientAsk.State.UNACKNOWLEDGED);
+        ask.recordSend(nowNanos);
+        sendToOwner(AskTable.askMessage(ask, nowNanos), nowNanos, effects);
         expectAnswer(nowNanos);
     }
 
     void renew(long nowNanos, List<ClientEffect> effects) {
         if (!owner.isEmpty()) {
-            send(owner, book.renewal(), nowNanos, effects);
+            send(owner, asks.renewalMessage(), nowNanos, effects);
             expectAnswer(nowNanos);
         }
     }
 
     /**
-     * Sends again what was not answered in time: the message or its answer may be lost with a connection. A whole
-     * registration is large, so an owner that is silent gets it less often.
+     * Resends messages that were not answered in time, because they or their answers may be lost with a connection. A
+     * registration is large, so it is resent less often to an owner that does not answer.
      */
-    void repeat(long nowNanos, List<ClientEffect> effects) {
-        long registrationTimeout = silent(nowNanos) ? settings.renewNanos() : settings.askTimeoutNanos();
-        if (!unconfirmed.isEmpty() && nowNanos - registrationSentNanos >= registrationTimeout) {
+    void resendOverdue(long nowNanos, List<ClientEffect> effects) {
+        long registrationTimeoutNanos = isUnresponsive(nowNanos) ? settings.renewNanos() : settings.askTimeoutNanos();
+        if (!unconfirmedParts.isEmpty() && nowNanos - registrationSentNanos >= registrationTimeoutNanos) {
             register(nowNanos, effects);
             return;
         }
-        for (ClientAsk ask : book.asks().values()) {
-            boolean late = nowNanos - ask.lastSentNanos() >= ask.timeoutNanos(settings.askTimeoutNanos());
-            if (ask.state() == ClientAsk.State.UNANSWERED && late) {
+        for (ClientAsk ask : asks.byNumber().values()) {
+            boolean overdue = nowNanos - ask.lastSentNanos() >= ask.retryTimeoutNanos(settings.askTimeoutNanos());
+            if (ask.state() == ClientAsk.State.UNACKNOWLEDGED && overdue) {
                 ask(ask, nowNanos, effects);
             }
         }
     }
 
     void expectAnswer(long nowNanos) {
-        if (unansweredSinceNanos == NOTHING_UNANSWERED) {
-            unansweredSinceNanos = nowNanos;
+        if (pendingAnswerSinceNanos == NO_PENDING_ANSWER) {
+            pendingAnswerSinceNanos = nowNanos;
         }
     }
 
-    boolean silent(long nowNanos) {
-        return unansweredSinceNanos != NOTHING_UNANSWERED
-                && nowNanos - unansweredSinceNanos >= settings.localAfterNanos();
+    boolean isUnresponsive(long nowNanos) {
+        return pendingAnswerSinceNanos != NO_PENDING_ANSWER
+                && nowNanos - pendingAnswerSinceNanos >= settings.localAfterNanos();
     }
 
-    /** Tells the current owner, if there is one, something that needs no answer. */
-    void tell(GrantMessage.Request body, long nowNanos, List<ClientEffect> effects) {
+    /** Sends a message that needs no answer, if there is an owner. */
+    void sendToOwner(GrantMessage.Request body, long nowNanos, List<ClientEffect> effects) {
         if (!owner.isEmpty()) {
             send(owner, body, nowNanos, effects);
         }
@@ -130,19 +130,19 @@
         effects.add(new ClientEffect.Send(to, new GrantMessage.ToOwner(cell, life, nowNanos, body)));
     }
 
-    private void confirmed(long term, GrantMessage.Registered registered) {
+    private void onRegistered(long term, GrantMessage.Registered registered) {
         if (registered.registration() != registration) {
             return;
         }
         registeredTerm = term;
-        GrantMessage.Reregister part = unconfirmed.remove(registered.part());
+        GrantMessage.Reregister part = unconfirmedParts.remove(registered.part());
         if (part == null) {
             return;
         }
         for (GrantMessage.Ask sent : part.asks()) {
-            ClientAsk ask = book.find(sent.ask());
-            if (ask != null && ask.state() == ClientAsk.State.UNANSWERED) {
-                ask.queued();
+            ClientAsk ask = asks.find(sent.ask());
+            if (ask != null && ask.state() == ClientAsk.State.UNACKNOWLEDGED) {
+                ask.markQueued();
             }
         }
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerSession.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/OwnerSession.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the owner knows of one life of one asker. */
+/** Owner's state of one incarnation of one client. */
 final class OwnerSession {
-    private final String asker;
+    private final String client;
     private final long life;
     private final Map<Long, OwnerEntry> entries = new HashMap<>();
-    private final Set<Integer> partsSeen = new HashSet<>();
+    private final Set<Integer> receivedParts = new HashSet<>();
     private long registration;
     private long stampNanos = Long.MIN_VALUE;
     private long stampArrivedNanos;
 
-    OwnerSession(String asker, long life) {
-        this.asker = asker;
+    OwnerSession(String client, long life) {
+        this.client = client;
         this.life = life;
     }
 
-    String asker() {
-        return asker;
+    String client() {
+        return client;
     }
 
     long life() {
@@ -32,10 +32,10 @@
         return entries;
     }
 
-    /** Keeps the newest stamp only: a message that was delayed must not make a lease look longer to the asker. */
-    void heard(long stamp, long nowNanos) {
-        if (stamp > stampNanos) {
-            stampNanos = stamp;
+    /** Keeps only the latest stamp: a delayed message must not change the lease times that the client computes. */
+    void recordStamp(long newStampNanos, long nowNanos) {
+        if (newStampNanos > stampNanos) {
+            stampNanos = newStampNanos;
             stampArrivedNanos = nowNanos;
         }
     }
@@ -48,16 +48,16 @@
         return nowNanos - stampArrivedNanos;
     }
 
-    /** Notes one part of a registration; true when all of its parts have arrived. */
-    boolean registered(GrantMessage.Reregister message) {
+    /** Records one part of a registration, and returns whether all parts have arrived. */
+    boolean recordPart(GrantMessage.Reregister message) {
         if (message.registration() < registration) {
             return false;
         }
         if (message.registration() > registration) {
             registration = message.registration();
-            partsSeen.clear();
+            receivedParts.clear();
         }
-        partsSeen.add(message.part());
-        return partsSeen.size() >= message.parts();
+        receivedParts.add(message.part());
+        return receivedParts.size() >= message.parts();
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Asks, grants and leases: one owner holds the one queue of a cell of workers, and the daemons that take requests ask
- * it for a worker. {@link org.dotterelcourse.coordination.grant.CellOwner} is the owner's side,
- * {@link org.dotterelcourse.coordination.grant.CellClient} the asker's. Who is served next is decided by an
- * {@link org.dotterelcourse.coordination.grant.Arbiter} that the embedder supplies.
+ * Grant protocol between the daemons that accept requests and the owner of a cell. A cell is a group of workers with one
+ * queue, which is held by one daemon, the owner. A client sends the owner an ask for each request. It receives a grant,
+ * which assigns a worker to the request for the duration of a lease, and renews the lease while the request runs. {@link org.dotterelcourse.coordination.grant.CellOwner} is the owner's side,
+ * {@link org.dotterelcourse.coordination.grant.CellClient} the client's. The embedder supplies the scheduling policy as
+ * an {@link org.dotterelcourse.coordination.grant.Arbiter}.
  */
 package org.dotterelcourse.coordination.grant;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellClientTest.java
@@ -22,16 +22,19 @@
             new CellClient("cell", LIFE, SETTINGS, new FifoArbiter(Map.of("llm-9", 1), 10), new SplittableRandom(1));
 
     @BeforeEach
-    void registersWithTheOwner() {
+    void registerWithOwner() {
         client.ownerChanged(Optional.of("owner"), 0);
-        on("owner", new GrantMessage.Registered(1, 0), 0, 0);
+        receive("owner", new GrantMessage.Registered(1, 0), 0, 0);
     }
 
-    /** The process is paused after it got a grant. Its place has long gone to another request when it wakes. */
+    /**
+     * The process was paused after it received a grant. The lease has expired meanwhile, and the owner has granted the
+     * slot to another request.
+     */
     @Test
-    void aGrantWhoseLeaseMayHaveEndedGoesBackUnused() {
+    void returnsGrantUnusedWhenItsLeaseMayHaveExpired() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
-        on("owner", granted(ask, GRANT), 10, 5);
+        receive("owner", granted(ask, GRANT), 10, 5);
 
         GrantCheck check = client.tryUse(ask, 315);
 
@@ -40,9 +43,9 @@
         assertThat(client.tryUse(ask, 315)).isInstanceOf(GrantCheck.NotHeld.class);
     }
 
-    /** A grant is under way for long. Its lease counts from when the owner gave it, not from when it arrives. */
+    /** A grant that arrives late must not get a longer lease: it starts when the owner sends the grant, not on arrival. */
     @Test
-    void aLeaseEndsNoLaterHereThanAtTheOwnerHoweverLateTheGrantArrives() {
+    void leaseEndsNoLaterThanAtOwnerWhenGrantArrivesLate() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         client.onMessage("owner", message(granted(ask, GRANT), 10, 5), 310);
 
@@ -51,70 +54,79 @@
     }
 
     @Test
-    void aGrantAfterTheDeadlineGoesBackUnused() {
+    void returnsGrantUnusedAfterTheDeadline() {
         long ask = client.ask(0, 50, NONE, 10).ask();
-        on("owner", granted(ask, GRANT), 10, 0);
+        receive("owner", granted(ask, GRANT), 10, 0);
 
         assertThat(client.tryUse(ask, 50)).isInstanceOf(GrantCheck.DeadlinePassed.class);
     }
 
-    /** Two owners grant the same ask. Used both, the request would run twice. */
+    /** Two owners grant the same ask. If the client used both grants, the request would run twice. */
     @Test
-    void asksThatAreGrantedTwiceUseOneGrantAndReturnTheOther() {
+    void usesOneGrantAndReturnsTheOtherWhenAskIsGrantedTwice() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         GrantId second = new GrantId(TERM, 2);
-        assertThat(on("owner", granted(ask, GRANT), 10, 0))
+        assertThat(receive("owner", granted(ask, GRANT), 10, 0))
                 .containsExactly(new ClientEffect.Granted(ask, GRANT, "llm-1"));
 
-        assertThat(on("owner", granted(ask, GRANT), 10, 0)).isEmpty();
-        assertThat(returned(on("owner", granted(ask, second), 10, 0))).containsExactly(second);
-        assertThat(returned(on("former", granted(ask, second), 10, 0))).containsExactly(second);
+        assertThat(receive("owner", granted(ask, GRANT), 10, 0)).isEmpty();
+        assertThat(returned(receive("owner", granted(ask, second), 10, 0))).containsExactly(second);
+        assertThat(returned(receive("former", granted(ask, second), 10, 0))).containsExactly(second);
         client.withdraw(ask, 11);
         assertThat(client.size()).as("a granted ask can't be withdrawn").isEqualTo(1);
     }
 
-    /** A caller goes away just when its grant is under way. */
+    /** The caller disconnects while the grant is in flight. */
     @Test
-    void aGrantForAWithdrawnAskGoesBack() {
+    void returnsGrantForWithdrawnAsk() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         client.withdraw(ask, 11);
 
-        assertThat(returned(on("owner", granted(ask, GRANT), 10, 0))).containsExactly(GRANT);
+        assertThat(returned(receive("owner", granted(ask, GRANT), 10, 0))).containsExactly(GRANT);
     }
 
-    /** A grant was returned while its ask waits on, and a second copy of it arrives. Its place is another's by now. */
+    /**
+     * A grant was returned while its ask still waits, and a duplicate of it arrives. The owner may have granted the slot
+     * to another request by then, so accepting the duplicate would exceed the worker's capacity.
+     */
     @Test
-    void aReturnedGrantIsNotTakenWhenItComesAgain() {
+    void rejectsDuplicateOfReturnedGrant() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         client.ownerChanged(Optional.of("owner"), 11);
-        assertThat(returned(on("owner", granted(ask, GRANT), 10, 0))).containsExactly(GRANT);
-        on("owner", new GrantMessage.Registered(2, 0), 11, 0);
+        assertThat(returned(receive("owner", granted(ask, GRANT), 10, 0))).containsExactly(GRANT);
+        receive("owner", new GrantMessage.Registered(2, 0), 11, 0);
 
-        assertThat(returned(on("owner", granted(ask, GRANT), 10, 0))).containsExactly(GRANT);
-        assertThat(on("owner", granted(ask, new GrantId(TERM, 2)), 12, 0)).hasSize(1);
+        assertThat(returned(receive("owner", granted(ask, GRANT), 10, 0))).containsExactly(GRANT);
+        assertThat(receive("owner", granted(ask, new GrantId(TERM, 2)), 12, 0)).hasSize(1);
     }
 
-    /** The owner ends a grant for more urgent work. The request is stopped, and asked for again with its arrival. */
+    /**
+     * The owner revokes a grant for a more urgent request. The embedder stops the request and asks again with the
+     * original arrival time.
+     */
     @Test
-    void aPreemptedRequestIsToldOnceAndIsNotRenewed() {
+    void reportsPreemptionOnceAndDoesNotRenewTheGrant() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
-        on("owner", granted(ask, GRANT), 10, 0);
+        receive("owner", granted(ask, GRANT), 10, 0);
         client.tryUse(ask, 11);
         GrantMessage.Preempted preempted = new GrantMessage.Preempted(ask, GRANT);
 
-        assertThat(on("owner", preempted, 10, 0)).containsExactly(new ClientEffect.Preempted(ask, GRANT));
-        assertThat(on("owner", preempted, 10, 0)).isEmpty();
+        assertThat(receive("owner", preempted, 10, 0)).containsExactly(new ClientEffect.Preempted(ask, GRANT));
+        assertThat(receive("owner", preempted, 10, 0)).isEmpty();
         assertThat(client.advance(200))
                 .anyMatch(effect -> sent(effect).equals(new GrantMessage.Renew(List.of(), List.of())));
         client.release(ask, NONE, 201);
         assertThat(client.size()).isZero();
     }
 
-    /** The owner process is replaced under the same name and has an empty queue. Waiting callers must not be lost. */
+    /**
+     * The owner process restarts under the same name and has an empty queue. Without a new registration, the waiting
+     * callers would get no answer.
+     */
     @Test
-    void anOwnerOfAnotherTermIsToldEverythingAgain() {
+    void registersAgainWithAnOwnerOfAnotherTerm() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
-        on("owner", new GrantMessage.Queued(ask), 10, 0);
+        receive("owner", new GrantMessage.Queued(ask), 10, 0);
 
         var answer = new GrantMessage.ToClient("cell", LIFE, TERM + 1, 10, 0, new GrantMessage.Queued(ask));
         List<ClientEffect> effects = client.onMessage("owner", answer, 20);
@@ -125,52 +137,58 @@
     }
 
     /**
-     * An asker was silent for longer than a lease while its request streamed, and the owner has given the place away. It
-     * has to know again that the worker is busy, or it goes on to grant there.
+     * A client sent nothing for longer than a lease while its request streamed, and the owner expired the grant. Without
+     * a new registration, the owner would keep granting a worker that is still busy.
      */
     @Test
-    void aGrantThatTheOwnerHasForgottenIsRegisteredAgain() {
+    void registersGrantAgainThatExpiredAtTheOwner() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
-        on("owner", granted(ask, GRANT), 10, 0);
+        receive("owner", granted(ask, GRANT), 10, 0);
 
-        List<ClientEffect> effects = on("owner", new GrantMessage.Renewed(300, List.of(ask)), 400, 0);
+        List<ClientEffect> effects = receive("owner", new GrantMessage.Renewed(300, List.of(ask)), 400, 0);
 
         assertThat(effects)
                 .anyMatch(effect -> sent(effect) instanceof GrantMessage.Reregister register
                         && register.grants().get(0).held().grant().equals(GRANT));
     }
 
-    /** A release or a withdrawal crosses the owner's answer to a renewal. Nothing must come back to life by it. */
+    /**
+     * A grant is released while the owner's answer to its renewal is in flight. The answer lists the grant as unknown,
+     * but it must not be registered again.
+     */
     @Test
-    void whatHasEndedIsNotRegisteredAgain() {
+    void doesNotRegisterReleasedGrantAgain() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
-        on("owner", granted(ask, GRANT), 10, 0);
+        receive("owner", granted(ask, GRANT), 10, 0);
         client.release(ask, NONE, 20);
 
-        assertThat(on("owner", new GrantMessage.Renewed(300, List.of(ask)), 30, 0))
+        assertThat(receive("owner", new GrantMessage.Renewed(300, List.of(ask)), 30, 0))
                 .isEmpty();
     }
 
-    /** No owner answers. Callers are served from this member's own fraction, and the owner hears of it later. */
+    /**
+     * No owner answers: the client grants requests from its own fraction of the capacity. When the owner answers again,
+     * the client registers these grants with it.
+     */
     @Test
-    void aSilentOwnerLeadsToLocalModeAndItsReturnEndsIt() {
+    void entersLocalModeWhenOwnerIsUnresponsiveAndLeavesItOnItsAnswer() {
         long ask = client.ask(0, 10_000, NONE, 10).ask();
         assertThat(client.advance(50)).noneMatch(ClientEffect.Granted.class::isInstance);
         assertThat(client.advance(80)).contains(new ClientEffect.LocalMode(true));
         assertThat(client.tryUse(ask, 81)).isEqualTo(new GrantCheck.Usable("llm-9"));
         long waiting = client.ask(82, 10_000, NONE, 82).ask();
 
-        List<ClientEffect> back = on("owner", new GrantMessage.Renewed(300, List.of()), 82, 0);
+        List<ClientEffect> effects = receive("owner", new GrantMessage.Renewed(300, List.of()), 82, 0);
 
-        assertThat(back).contains(new ClientEffect.LocalMode(false));
-        GrantMessage.Reregister register = (GrantMessage.Reregister) sent(back.get(back.size() - 1));
+        assertThat(effects).contains(new ClientEffect.LocalMode(false));
+        GrantMessage.Reregister register = (GrantMessage.Reregister) sent(effects.get(effects.size() - 1));
         assertThat(register.grants()).hasSize(1);
         assertThat(register.asks()).extracting(GrantMessage.Ask::ask).containsExactly(waiting);
     }
 
-    /** More callers wait than the process can remember. They hear at once that they were not run. */
+    /** Overload: more callers wait than the client keeps asks for. Further asks are rejected immediately. */
     @Test
-    void aFullClientRefuses() {
+    void rejectsAsksBeyondTheMaximum() {
         client.ask(0, 10_000, NONE, 10);
         client.ask(0, 10_000, NONE, 10);
 
@@ -179,19 +197,19 @@
     }
 
     @Test
-    void aWaitingAskEndsAtItsDeadline() {
+    void endsWaitingAskAtItsDeadline() {
         long ask = client.ask(0, 30, NONE, 10).ask();
 
         assertThat(client.advance(30)).contains(new ClientEffect.DeadlinePassed(ask));
         assertThat(client.size()).isZero();
     }
 
-    private List<ClientEffect> on(String from, GrantMessage.Reply reply, long stamp, long since) {
-        return client.onMessage(from, message(reply, stamp, since), stamp + since);
+    private List<ClientEffect> receive(String from, GrantMessage.Reply reply, long stampNanos, long sinceStampNanos) {
+        return client.onMessage(from, message(reply, stampNanos, sinceStampNanos), stampNanos + sinceStampNanos);
     }
 
-    private static GrantMessage.ToClient message(GrantMessage.Reply reply, long stamp, long since) {
-        return new GrantMessage.ToClient("cell", LIFE, TERM, stamp, since, reply);
+    private static GrantMessage.ToClient message(GrantMessage.Reply reply, long stampNanos, long sinceStampNanos) {
+        return new GrantMessage.ToClient("cell", LIFE, TERM, stampNanos, sinceStampNanos, reply);
     }
 
     private static GrantMessage.Granted granted(long ask, GrantId grant) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellOwnerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/CellOwnerTest.java
@@ -13,12 +13,15 @@
     private static final GrantSettings SETTINGS =
             GrantSettings.builder().lease(300, 100).settle(1_000).build();
     private static final byte[] NONE = {};
-    private static final GrantId EARLIER = new GrantId(77, 1);
+    private static final GrantId EARLIER_GRANT = new GrantId(77, 1);
 
-    /** An asker dies while its request runs. Its place must serve others again, or the workers fill up with nothing. */
+    /**
+     * A client dies while its request runs. If its lease did not expire, the slot would stay occupied forever although
+     * nothing runs in it.
+     */
     @Test
-    void theLeaseOfADeadAskerReturns() {
-        CellOwner owner = settled(1);
+    void grantsSlotOfDeadClientAfterItsLeaseExpires() {
+        CellOwner owner = settledOwner(1);
         ask(owner, "dead", 1, 1, 0);
         assertThat(ask(owner, "alive", 1, 1, 200)).containsExactly(new GrantMessage.Queued(1));
 
@@ -32,53 +35,59 @@
         assertThat(owner.leasesByWorker()).isEqualTo(Map.of("llm-1", 1));
     }
 
-    /** An asker's process restarts. What its earlier life was granted runs no more and ends at once. */
+    /**
+     * A client's process restarts. The requests of its previous incarnation no longer run, so their grants end
+     * immediately.
+     */
     @Test
-    void theGrantsOfAnEarlierLifeEndWithTheFirstMessageOfTheNext() {
-        CellOwner owner = settled(1);
+    void endsGrantsOfPreviousIncarnationOnFirstMessageOfTheNext() {
+        CellOwner owner = settledOwner(1);
         ask(owner, "a", 1, 1, 0);
 
         assertThat(ask(owner, "a", 2, 1, 10))
                 .hasOnlyElementsOfType(GrantMessage.Granted.class)
                 .hasSize(1);
         assertThat(ask(owner, "a", 1, 2, 20))
-                .as("an old message that was under way")
+                .as("a delayed message of the previous incarnation")
                 .isEmpty();
         assertThat(owner.size()).isEqualTo(1);
     }
 
-    /** The answer to an ask is lost and the ask comes again. Offered twice, it would take two places. */
+    /** The answer to an ask is lost and the ask is sent again. Offered twice, it would occupy two slots. */
     @Test
-    void anAskThatComesTwiceGetsTheSameGrantAgain() {
-        CellOwner owner = settled(2);
+    void answersRepeatedAskWithTheSameGrant() {
+        CellOwner owner = settledOwner(2);
         List<GrantMessage.Reply> first = ask(owner, "a", 1, 1, 0);
 
         assertThat(ask(owner, "a", 1, 1, 10)).isEqualTo(first);
         assertThat(owner.leasesByWorker()).isEqualTo(Map.of("llm-1", 1));
     }
 
-    /** A new owner knows nothing of what the old one granted. Granting at once, it would fill busy workers again. */
+    /**
+     * A new owner does not have the grants of its predecessor. If it granted immediately, it would send requests to
+     * workers that are already busy.
+     */
     @Test
-    void aNewOwnerGrantsOnceEveryExpectedAskerHasRegistered() {
+    void grantsOnceAllExpectedClientsHaveRegistered() {
         CellOwner owner = builder(1).expectedClients(Set.of("a", "b")).takeOver(0);
         assertThat(ask(owner, "a", 1, 1, 1)).containsExactly(new GrantMessage.Queued(1));
-        on(owner, "a", 1, new GrantMessage.Reregister(1, 0, 1, List.of(), List.of()), 2);
-        assertThat(owner.settled()).isFalse();
+        receive(owner, "a", 1, new GrantMessage.Reregister(1, 0, 1, List.of(), List.of()), 2);
+        assertThat(owner.isSettled()).isFalse();
 
-        GrantMessage.Held held = new GrantMessage.Held(9, EARLIER, 5);
+        GrantMessage.Held held = new GrantMessage.Held(9, EARLIER_GRANT, 5);
         var outstanding = new GrantMessage.Outstanding(held, "llm-1", 3, NONE);
-        on(owner, "b", 1, new GrantMessage.Reregister(1, 0, 1, List.of(outstanding), List.of()), 3);
-        assertThat(owner.settled()).isTrue();
+        receive(owner, "b", 1, new GrantMessage.Reregister(1, 0, 1, List.of(outstanding), List.of()), 3);
+        assertThat(owner.isSettled()).isTrue();
         assertThat(owner.leasesByWorker()).isEqualTo(Map.of("llm-1", 1));
 
-        assertThat(on(owner, "b", 1, new GrantMessage.Release(9, EARLIER, NONE), 4))
+        assertThat(receive(owner, "b", 1, new GrantMessage.Release(9, EARLIER_GRANT, NONE), 4))
                 .hasOnlyElementsOfType(GrantMessage.Granted.class)
                 .hasSize(1);
     }
 
-    /** An expected asker is silent. The cell must not wait for it for good. */
+    /** An expected client never registers. The new owner must not wait for it indefinitely. */
     @Test
-    void aNewOwnerGrantsAfterTheSettleTimeAtTheLatest() {
+    void grantsAfterTheSettleTimeAtTheLatest() {
         CellOwner owner = builder(1).expectedClients(Set.of("a", "silent")).takeOver(0);
         ask(owner, "a", 1, 1, 900);
 
@@ -87,22 +96,28 @@
         assertThat(owner.leasesByWorker()).isEqualTo(Map.of("llm-1", 1));
     }
 
-    /** The parts of a large registration arrive in any order. The last number alone doesn't mean that all are there. */
+    /**
+     * The parts of a large registration arrive out of order and may be duplicated. Neither the part with the last number
+     * nor the number of messages shows that the registration is complete.
+     */
     @Test
-    void anAskerHasRegisteredOnlyWhenAllPartsAreThere() {
+    void completesRegistrationOnlyWhenAllPartsHaveArrived() {
         CellOwner owner = builder(1).expectedClients(Set.of("a")).takeOver(0);
-        on(owner, "a", 1, new GrantMessage.Reregister(1, 1, 2, List.of(), List.of()), 1);
-        on(owner, "a", 1, new GrantMessage.Reregister(1, 1, 2, List.of(), List.of()), 2);
-        assertThat(owner.settled()).isFalse();
+        receive(owner, "a", 1, new GrantMessage.Reregister(1, 1, 2, List.of(), List.of()), 1);
+        receive(owner, "a", 1, new GrantMessage.Reregister(1, 1, 2, List.of(), List.of()), 2);
+        assertThat(owner.isSettled()).isFalse();
 
-        on(owner, "a", 1, new GrantMessage.Reregister(1, 0, 2, List.of(), List.of()), 3);
-        assertThat(owner.settled()).isTrue();
+        receive(owner, "a", 1, new GrantMessage.Reregister(1, 0, 2, List.of(), List.of()), 3);
+        assertThat(owner.isSettled()).isTrue();
     }
 
-    /** Another member becomes the owner. Who still asks the old one must learn so at once, not by a timeout. */
+    /**
+     * Another member becomes the owner. Clients that still send asks to the former owner must be referred to the
+     * successor immediately instead of running into a timeout.
+     */
     @Test
-    void anOwnerThatResignedRefersToItsSuccessor() {
-        CellOwner owner = settled(1);
+    void refersClientsToItsSuccessorAfterResigning() {
+        CellOwner owner = settledOwner(1);
         ask(owner, "a", 1, 1, 0);
 
         assertThat(replies(owner.resign("entry-2", 10))).containsExactly(new GrantMessage.NotOwner("entry-2"));
@@ -110,24 +125,24 @@
         assertThat(owner.leasesByWorker()).isEmpty();
     }
 
-    private static CellOwner.Builder builder(int places) {
-        FifoArbiter arbiter = new FifoArbiter(Map.of("llm-1", places), 100);
+    private static CellOwner.Builder builder(int slots) {
+        FifoArbiter arbiter = new FifoArbiter(Map.of("llm-1", slots), 100);
         return CellOwner.builder("cell", arbiter, new SplittableRandom(1)).settings(SETTINGS);
     }
 
-    private static CellOwner settled(int places) {
-        CellOwner owner = builder(places).expectedClients(Set.of()).takeOver(0);
+    private static CellOwner settledOwner(int slots) {
+        CellOwner owner = builder(slots).expectedClients(Set.of()).takeOver(0);
         owner.advance(0);
         return owner;
     }
 
-    private static List<GrantMessage.Reply> ask(CellOwner owner, String asker, long life, long ask, long now) {
-        return on(owner, asker, life, new GrantMessage.Ask(ask, 0, NONE), now);
+    private static List<GrantMessage.Reply> ask(CellOwner owner, String client, long life, long ask, long nowNanos) {
+        return receive(owner, client, life, new GrantMessage.Ask(ask, 0, NONE), nowNanos);
     }
 
-    private static List<GrantMessage.Reply> on(
-            CellOwner owner, String asker, long life, GrantMessage.Request request, long now) {
-        return replies(owner.onMessage(asker, new GrantMessage.ToOwner("cell", life, now, request), now));
+    private static List<GrantMessage.Reply> receive(
+            CellOwner owner, String client, long life, GrantMessage.Request request, long nowNanos) {
+        return replies(owner.onMessage(client, new GrantMessage.ToOwner("cell", life, nowNanos, request), nowNanos));
     }
 
     private static List<GrantMessage.Reply> replies(List<OwnerEffect> effects) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantCodecTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantCodecTest.java
@@ -33,14 +33,14 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void aMessageSurvivesTheWire(GrantMessage message) {
+    void decodesEachMessageAsItWasEncoded(GrantMessage message) {
         GrantCodec.Decoded decoded = GrantCodec.decode(GrantCodec.encode(message));
 
         assertThat(decoded).usingRecursiveComparison().isEqualTo(new GrantCodec.Decoded.Message(message));
     }
 
     @Test
-    void bytesOfAnotherProtocolAreMalformed() {
+    void reportsBytesOfAnotherProtocolAsMalformed() {
         assertThat(GrantCodec.decode(new byte[] {(byte) 0xff, 1, 2})).isInstanceOf(GrantCodec.Decoded.Malformed.class);
         assertThat(GrantCodec.decode(new byte[0])).isInstanceOf(GrantCodec.Decoded.Malformed.class);
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleet.java
@@ -12,26 +12,29 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Members with clocks of their own, three workers, and a lossy wire; counts what the workers run. */
+/**
+ * Simulation of members with their own clocks, three workers and a lossy network. Counts the requests that each worker
+ * runs.
+ */
 final class GrantFleet {
-    static final long MILLI = 1_000_000L;
-    static final long STEP = 5 * MILLI;
-    static final int PLACES = 4;
-    static final long NEVER = Long.MAX_VALUE / 4;
+    static final long MILLI_NANOS = 1_000_000L;
+    static final long STEP_NANOS = 5 * MILLI_NANOS;
+    static final int SLOTS = 4;
+    static final long NEVER_NANOS = Long.MAX_VALUE / 4;
 
     final SplittableRandom random;
-    final LossyNetwork wire;
+    final LossyNetwork network;
     final GrantSettings settings;
     final List<GrantNode> nodes = new ArrayList<>();
     final Map<Integer, FleetRequest> requests = new LinkedHashMap<>();
     final Map<String, Integer> active = new HashMap<>();
-    final Set<GrantId> expired = new HashSet<>();
-    final long maxViewDelay;
-    int mostActive;
-    int leasesExpired;
-    long now;
+    final Set<GrantId> expiredGrants = new HashSet<>();
+    final long maxViewDelayNanos;
+    int peakActive;
+    int expiredLeases;
+    long nowNanos;
 
-    /** One request as the caller sees it. */
+    /** One request from the caller's point of view. */
     static final class FleetRequest {
         final int id;
         final long durationNanos;
@@ -46,78 +49,80 @@
         }
     }
 
-    GrantFleet(long seed, int members, GrantSettings settings, long maxViewDelay) {
+    GrantFleet(long seed, int members, GrantSettings settings, long maxViewDelayNanos) {
         this.random = new SplittableRandom(seed);
-        this.wire = new LossyNetwork(random);
+        this.network = new LossyNetwork(random);
         this.settings = settings;
-        this.maxViewDelay = maxViewDelay;
+        this.maxViewDelayNanos = maxViewDelayNanos;
         for (int i = 0; i < members; i++) {
             nodes.add(new GrantNode(this, "entry-" + i, random.nextLong(1L << 40)));
         }
         publishOwners();
     }
 
-    static Map<String, Integer> capacity(int places) {
+    static Map<String, Integer> capacity(int slots) {
         Map<String, Integer> capacity = new LinkedHashMap<>();
         for (int i = 0; i < 3; i++) {
-            capacity.put("llm-" + i, places);
+            capacity.put("llm-" + i, slots);
         }
         return capacity;
     }
 
-    /** Gives each member its side's lowest living member as owner, after a delay of its own. */
+    /** Makes each member see the first live member of its partition as the owner, after its own random delay. */
     void publishOwners() {
         for (GrantNode node : nodes) {
-            node.sees(ownerOf(wire.partitionOf(node.name)), now + random.nextLong(maxViewDelay));
+            node.setOwnerView(ownerOf(network.partitionOf(node.name)), nowNanos + random.nextLong(maxViewDelayNanos));
         }
     }
 
-    Optional<String> ownerOf(int side) {
+    Optional<String> ownerOf(int partition) {
         for (GrantNode node : nodes) {
-            if (node.alive && wire.partitionOf(node.name) == side) {
+            if (node.alive && network.partitionOf(node.name) == partition) {
                 return Optional.of(node.name);
             }
         }
         return Optional.empty();
     }
 
-    Set<String> living(int side) {
-        Set<String> living = new HashSet<>();
+    Set<String> liveMembers(int partition) {
+        Set<String> members = new HashSet<>();
         for (GrantNode node : nodes) {
-            if (node.alive && wire.partitionOf(node.name) == side) {
-                living.add(node.name);
+            if (node.alive && network.partitionOf(node.name) == partition) {
+                members.add(node.name);
             }
         }
-        return living;
+        return members;
     }
 
-    void request(GrantNode at, long durationNanos) {
+    void request(GrantNode node, long durationNanos) {
         FleetRequest request = new FleetRequest(requests.size(), durationNanos);
-        request.arrivalNanos = at.clock();
+        request.arrivalNanos = node.clockNanos();
         requests.put(request.id, request);
-        at.ask(request);
+        node.ask(request);
     }
 
-    void started(FleetRequest request, String worker) {
+    void recordStart(FleetRequest request, String worker) {
         request.executions++;
         assertThat(request.executions).as("executions of %d", request.id).isOne();
         request.worker = worker;
-        mostActive = Math.max(mostActive, active.merge(worker, 1, Integer::sum));
+        peakActive = Math.max(peakActive, active.merge(worker, 1, Integer::sum));
     }
 
-    void stopped(FleetRequest request) {
+    void recordStop(FleetRequest request) {
         active.merge(request.worker, -1, Integer::sum);
         request.answered = true;
     }
 
-    void notRun(FleetRequest request) {
-        assertThat(request.executions).as("a request said not to have run").isZero();
+    void recordNotRun(FleetRequest request) {
+        assertThat(request.executions)
+                .as("executions of a request reported as not run")
+                .isZero();
         request.answered = true;
     }
 
     void step() {
-        now += STEP;
-        for (LossyNetwork.Packet packet : wire.arrived(now)) {
+        nowNanos += STEP_NANOS;
+        for (LossyNetwork.Packet packet : network.arrived(nowNanos)) {
             node(packet.to()).receive(packet);
         }
         for (GrantNode node : nodes) {
@@ -126,8 +131,8 @@
     }
 
     void run(long nanos) {
-        long until = now + nanos;
-        while (now < until) {
+        long endNanos = nowNanos + nanos;
+        while (nowNanos < endNanos) {
             step();
         }
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantNode.java
@@ -11,34 +11,37 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** One member of a {@link GrantFleet}: its asker, its owner while it has one, and the requests it sent to workers. */
+/**
+ * One member of a {@link GrantFleet}: its client, its owner while it owns the cell, and the requests that it sent to
+ * workers.
+ */
 final class GrantNode {
     final String name;
     private final GrantFleet fleet;
-    private final long clockOffset;
+    private final long clockOffsetNanos;
     private final Map<Long, FleetRequest> asks = new HashMap<>();
     private final Map<Long, GrantId> grants = new HashMap<>();
-    private final Map<Long, Long> endsAt = new HashMap<>();
-    private final Map<Long, Long> useAt = new HashMap<>();
+    private final Map<Long, Long> endNanosByAsk = new HashMap<>();
+    private final Map<Long, Long> useNanosByAsk = new HashMap<>();
     private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
     private long life = 1;
-    private long pausedUntil;
-    private Optional<String> nextView = Optional.empty();
-    private long nextViewAt = GrantFleet.NEVER;
+    private long pausedUntilNanos;
+    private Optional<String> nextOwnerView = Optional.empty();
+    private long nextOwnerViewNanos = GrantFleet.NEVER_NANOS;
     private CellClient client;
     CellOwner owner;
     boolean alive = true;
-    int localFraction = 1;
+    int localSlots = 1;
 
-    GrantNode(GrantFleet fleet, String name, long clockOffset) {
+    GrantNode(GrantFleet fleet, String name, long clockOffsetNanos) {
         this.fleet = fleet;
         this.name = name;
-        this.clockOffset = clockOffset;
+        this.clockOffsetNanos = clockOffsetNanos;
         this.client = newClient();
     }
 
-    long clock() {
-        return fleet.now + clockOffset;
+    long clockNanos() {
+        return fleet.nowNanos + clockOffsetNanos;
     }
 
     int size() {
@@ -49,34 +52,34 @@
         return client.isLocalMode();
     }
 
-    void sees(Optional<String> view, long at) {
-        nextView = view;
-        nextViewAt = at;
+    void setOwnerView(Optional<String> view, long atNanos) {
+        nextOwnerView = view;
+        nextOwnerViewNanos = atNanos;
     }
 
     void pause(long nanos) {
-        pausedUntil = fleet.now + nanos;
+        pausedUntilNanos = fleet.nowNanos + nanos;
     }
 
-    boolean paused() {
-        return fleet.now < pausedUntil;
+    boolean isPaused() {
+        return fleet.nowNanos < pausedUntilNanos;
     }
 
-    /** The process dies: its connections to the workers break, and its callers with them. */
+    /** Simulates a crash of the process, which closes its connections to the workers and to its callers. */
     void crash() {
         alive = false;
         owner = null;
         inbox.clear();
-        useAt.clear();
+        useNanosByAsk.clear();
         for (FleetRequest request : asks.values()) {
             if (request.worker != null && !request.answered) {
-                fleet.stopped(request);
+                fleet.recordStop(request);
             }
             request.answered = true;
         }
         asks.clear();
         grants.clear();
-        endsAt.clear();
+        endNanosByAsk.clear();
     }
 
     void restart() {
@@ -88,7 +91,7 @@
     void ask(FleetRequest request) {
         byte[] terms = ByteBuffer.allocate(Integer.BYTES).putInt(request.id).array();
         ClientEffect.Asked asked =
-                client.ask(request.arrivalNanos, request.arrivalNanos + GrantFleet.NEVER, terms, clock());
+                client.ask(request.arrivalNanos, request.arrivalNanos + GrantFleet.NEVER_NANOS, terms, clockNanos());
         asks.put(asked.ask(), request);
         perform(asked.effects());
     }
@@ -101,87 +104,87 @@
 
     void step() {
         List<Long> ended = new ArrayList<>();
-        for (Map.Entry<Long, Long> end : endsAt.entrySet()) {
-            if (end.getValue() <= fleet.now) {
+        for (Map.Entry<Long, Long> end : endNanosByAsk.entrySet()) {
+            if (end.getValue() <= fleet.nowNanos) {
                 ended.add(end.getKey());
             }
         }
         for (Long ask : ended) {
             if (!asks.get(ask).answered) {
-                fleet.stopped(asks.get(ask));
+                fleet.recordStop(asks.get(ask));
             }
         }
-        if (!alive || paused()) {
+        if (!alive || isPaused()) {
             return;
         }
         ended.forEach(this::release);
-        // Of what happens in the same step, what waited for the process to wake up comes first: a grant that it was
-        // about to use, before any message that could tell it better.
-        use();
+        // Uses grants before it handles messages of the same step. This is the worst case after a pause: the process
+        // uses the grant before a message that revokes it.
+        usePendingGrants();
         List<LossyNetwork.Packet> packets = List.copyOf(inbox);
         inbox.clear();
         packets.forEach(this::handle);
-        if (nextViewAt <= fleet.now) {
-            nextViewAt = GrantFleet.NEVER;
+        if (nextOwnerViewNanos <= fleet.nowNanos) {
+            nextOwnerViewNanos = GrantFleet.NEVER_NANOS;
             changeOwner();
         }
-        perform(client.advance(clock()));
+        perform(client.advance(clockNanos()));
         if (owner != null) {
-            performOwner(owner.advance(clock()));
+            performOwner(owner.advance(clockNanos()));
         }
     }
 
     private void changeOwner() {
-        boolean own = nextView.equals(Optional.of(name));
-        if (own && owner == null) {
+        boolean isOwner = nextOwnerView.equals(Optional.of(name));
+        if (isOwner && owner == null) {
             owner = CellOwner.builder(
-                            "cell", new FifoArbiter(GrantFleet.capacity(GrantFleet.PLACES), 1_000), fleet.random)
+                            "cell", new FifoArbiter(GrantFleet.capacity(GrantFleet.SLOTS), 1_000), fleet.random)
                     .settings(fleet.settings)
-                    .expectedClients(fleet.living(fleet.wire.partitionOf(name)))
-                    .takeOver(clock());
-        } else if (!own && owner != null) {
-            performOwner(owner.resign(nextView.orElse(""), clock()));
+                    .expectedClients(fleet.liveMembers(fleet.network.partitionOf(name)))
+                    .takeOver(clockNanos());
+        } else if (!isOwner && owner != null) {
+            performOwner(owner.resign(nextOwnerView.orElse(""), clockNanos()));
             owner = null;
         }
-        perform(client.ownerChanged(nextView, clock()));
+        perform(client.ownerChanged(nextOwnerView, clockNanos()));
     }
 
     private void handle(LossyNetwork.Packet packet) {
         GrantMessage message = ((GrantCodec.Decoded.Message) GrantCodec.decode(packet.body())).message();
         if (message instanceof GrantMessage.ToClient reply) {
-            perform(client.onMessage(packet.from(), reply, clock()));
+            perform(client.onMessage(packet.from(), reply, clockNanos()));
         } else if (message instanceof GrantMessage.ToOwner request && owner != null) {
-            performOwner(owner.onMessage(packet.from(), request, clock()));
+            performOwner(owner.onMessage(packet.from(), request, clockNanos()));
         } else if (message instanceof GrantMessage.ToOwner request) {
             send(packet.from(), CellOwner.notOwner(request, ""));
         }
     }
 
-    private void use() {
-        for (Long ask : List.copyOf(useAt.keySet())) {
-            if (useAt.get(ask) > fleet.now) {
+    private void usePendingGrants() {
+        for (Long ask : List.copyOf(useNanosByAsk.keySet())) {
+            if (useNanosByAsk.get(ask) > fleet.nowNanos) {
                 continue;
             }
-            useAt.remove(ask);
-            GrantCheck check = client.tryUse(ask, clock());
+            useNanosByAsk.remove(ask);
+            GrantCheck check = client.tryUse(ask, clockNanos());
             FleetRequest request = asks.get(ask);
             if (check instanceof GrantCheck.Usable usable) {
-                assertThat(client.tryUse(ask, clock())).isInstanceOf(GrantCheck.NotHeld.class);
-                assertThat(fleet.expired).as("leases that ended").doesNotContain(grants.get(ask));
-                fleet.started(request, usable.worker());
-                endsAt.put(ask, fleet.now + request.durationNanos);
-            } else if (check instanceof GrantCheck.LeaseExpired stale) {
+                assertThat(client.tryUse(ask, clockNanos())).isInstanceOf(GrantCheck.NotHeld.class);
+                assertThat(fleet.expiredGrants).as("leases that ended").doesNotContain(grants.get(ask));
+                fleet.recordStart(request, usable.worker());
+                endNanosByAsk.put(ask, fleet.nowNanos + request.durationNanos);
+            } else if (check instanceof GrantCheck.LeaseExpired expired) {
                 asks.remove(ask);
-                perform(stale.effects());
+                perform(expired.effects());
                 ask(request);
             }
         }
     }
 
     private void release(Long ask) {
-        endsAt.remove(ask);
+        endNanosByAsk.remove(ask);
         asks.remove(ask);
-        perform(client.release(ask, new byte[] {1}, clock()));
+        perform(client.release(ask, new byte[] {1}, clockNanos()));
     }
 
     private void perform(List<ClientEffect> effects) {
@@ -190,11 +193,11 @@
                 send(send.to(), send.message());
             } else if (effect instanceof ClientEffect.Granted granted) {
                 grants.put(granted.ask(), granted.grant());
-                useAt.put(granted.ask(), fleet.now + fleet.random.nextLong(2 * GrantFleet.STEP));
+                useNanosByAsk.put(granted.ask(), fleet.nowNanos + fleet.random.nextLong(2 * GrantFleet.STEP_NANOS));
             } else if (effect instanceof ClientEffect.Refused refused) {
-                fleet.notRun(asks.remove(refused.ask()));
+                fleet.recordNotRun(asks.remove(refused.ask()));
             } else if (effect instanceof ClientEffect.DeadlinePassed passed) {
-                fleet.notRun(asks.remove(passed.ask()));
+                fleet.recordNotRun(asks.remove(passed.ask()));
             }
         }
     }
@@ -204,18 +207,18 @@
             if (effect instanceof OwnerEffect.Send send) {
                 send(send.to(), send.message());
             } else if (effect instanceof OwnerEffect.LeaseExpired lease) {
-                fleet.leasesExpired++;
-                fleet.expired.add(lease.grant());
+                fleet.expiredLeases++;
+                fleet.expiredGrants.add(lease.grant());
             }
         }
     }
 
     private void send(String to, GrantMessage message) {
-        fleet.wire.send(name, to, GrantCodec.encode(message), fleet.now);
+        fleet.network.send(name, to, GrantCodec.encode(message), fleet.nowNanos);
     }
 
     private CellClient newClient() {
-        FifoArbiter local = new FifoArbiter(GrantFleet.capacity(localFraction), 1_000);
+        FifoArbiter local = new FifoArbiter(GrantFleet.capacity(localSlots), 1_000);
         return new CellClient("cell", life, fleet.settings, local, fleet.random);
     }
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyNetwork.java
@@ -7,33 +7,36 @@
 import java.util.PriorityQueue;
 import java.util.random.RandomGenerator;
 
-/** Carries bytes between members with random loss, duplication, delay (hence reorder) and partition. */
+/**
+ * Simulated network that delivers packets between members with random loss, duplication, delay (and therefore
+ * reordering) and partitions.
+ */
 public final class LossyNetwork {
     private final RandomGenerator random;
     private final PriorityQueue<Packet> packets = new PriorityQueue<>();
-    private final Map<String, Integer> sides = new HashMap<>();
+    private final Map<String, Integer> partitions = new HashMap<>();
     private double loss;
     private double duplication;
     private long maxDelayNanos = 1_000_000;
     private long sent;
 
     /**
-     * Makes a wire that loses nothing.
+     * Creates a network without loss or duplication, and with delays up to 1 ms.
      *
-     * @param random decides about each packet
+     * @param random source of randomness of the faults
      */
     public LossyNetwork(RandomGenerator random) {
         this.random = random;
     }
 
     /**
-     * A packet under way.
+     * A packet in flight.
      *
-     * @param order breaks ties
-     * @param dueNanos when it arrives
-     * @param from the sender
-     * @param to the receiver
-     * @param body the message
+     * @param order sequence number of the send, orders packets that arrive at the same time
+     * @param dueNanos simulated time of arrival in nanoseconds
+     * @param from name of the sender
+     * @param to name of the receiver
+     * @param body the encoded message
      */
     public record Packet(long order, long dueNanos, String from, String to, byte[] body) implements Comparable<Packet> {
         @Override
@@ -44,11 +47,11 @@
     }
 
     /**
-     * Sets the faults.
+     * Sets the fault rates for packets sent from now on.
      *
-     * @param lossShare the share of packets lost
-     * @param duplicationShare the share that arrives twice
-     * @param delayNanos the longest delay
+     * @param lossShare probability that a packet is lost, from 0 to 1
+     * @param duplicationShare probability that a packet is sent twice, from 0 to 1
+     * @param delayNanos maximum delay in nanoseconds
      */
     public void faults(double lossShare, double duplicationShare, long delayNanos) {
         loss = lossShare;
@@ -57,32 +60,32 @@
     }
 
     /**
-     * Puts a member on a side; sides hear nothing of each other.
+     * Assigns a member to a partition. Packets between different partitions are dropped on arrival.
      *
-     * @param member the member
-     * @param side its side, 0 at first
+     * @param member name of the member
+     * @param partition number of the partition; 0 by default
      */
-    public void assignPartition(String member, int side) {
-        sides.put(member, side);
+    public void assignPartition(String member, int partition) {
+        partitions.put(member, partition);
     }
 
     /**
-     * The side that a member is on.
+     * Partition of a member.
      *
-     * @param member the member
-     * @return its side
+     * @param member name of the member
+     * @return number of the partition
      */
     public int partitionOf(String member) {
-        return sides.getOrDefault(member, 0);
+        return partitions.getOrDefault(member, 0);
     }
 
     /**
-     * Sends a packet; one to oneself is neither lost nor delayed.
+     * Sends a packet. A packet to the sender itself is neither lost nor delayed.
      *
-     * @param from the sender
-     * @param to the receiver
-     * @param body the message
-     * @param nowNanos the time
+     * @param from name of the sender
+     * @param to name of the receiver
+     * @param body the encoded message
+     * @param nowNanos current simulated time in nanoseconds
      */
     public void send(String from, String to, byte[] body, long nowNanos) {
         sent++;
@@ -100,10 +103,10 @@
     }
 
     /**
-     * Takes what has arrived.
+     * Removes and returns the packets that have arrived.
      *
-     * @param nowNanos the time
-     * @return the packets, in order of arrival
+     * @param nowNanos current simulated time in nanoseconds
+     * @return the packets in order of arrival, without those between different partitions
      */
     public List<Packet> arrived(long nowNanos) {
         List<Packet> due = new ArrayList<>();
