--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Cpu.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Cpu.java
@@ -3,14 +3,14 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 
-/** Processor time of this thread, which other processes on the machine don't add to. */
+/** CPU time of the current thread, which excludes that of other processes on the machine. */
 final class Cpu {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private Cpu() {}
 
-    /** Nanoseconds since some fixed point. */
-    static long nanos() {
+    /** CPU time of the current thread since an arbitrary origin, in nanoseconds. */
+    static long threadNanos() {
         return THREADS.getCurrentThreadCpuTime();
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/CycleCost.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/CycleCost.java
@@ -1,8 +1,8 @@
 package org.dotterelcourse.coordination.grant.measure;
 
-/** What one request costs owner and asker together, from ask to release, codec included. */
+/** Measures the cost of one request for owner and client together, from ask to release, including the codec. */
 final class CycleCost {
-    private static final int WARM_UP = 200_000;
+    private static final int WARM_UP_CYCLES = 200_000;
     private static final int CYCLES = 200_000;
 
     private CycleCost() {}
@@ -10,36 +10,36 @@
     static void print() {
         System.out.println("### Ask, grant and release of one request");
         System.out.println();
-        System.out.println("Processor time of owner and asker together, with encoding and decoding, one thread.");
+        System.out.println("CPU time of owner and client together, including encoding and decoding, in one thread.");
         System.out.println();
-        System.out.println("| grants outstanding besides | microseconds | messages | bytes |");
+        System.out.println("| other outstanding grants | microseconds | messages | bytes |");
         System.out.println("| ---: | ---: | ---: | ---: |");
-        for (int outstanding : new int[] {0, 1_000, 10_000, 50_000}) {
-            row(outstanding);
+        for (int otherGrants : new int[] {0, 1_000, 10_000, 50_000}) {
+            printRow(otherGrants);
         }
         System.out.println();
     }
 
-    private static void row(int outstanding) {
-        Loop loop = new Loop(1);
-        loop.takeOver("entry-1", Integer.MAX_VALUE);
-        loop.settle();
-        for (int i = 0; i < outstanding; i++) {
-            loop.ask(0);
+    private static void printRow(int otherGrants) {
+        LoopbackCell cell = new LoopbackCell(1);
+        cell.takeOver("entry-1", Integer.MAX_VALUE);
+        cell.settle();
+        for (int i = 0; i < otherGrants; i++) {
+            cell.ask(0);
         }
-        cycles(loop, WARM_UP);
-        loop.resetCounters();
-        long start = Cpu.nanos();
-        cycles(loop, CYCLES);
-        double micros = (Cpu.nanos() - start) / 1_000.0 / CYCLES;
+        runCycles(cell, WARM_UP_CYCLES);
+        cell.resetCounters();
+        long start = Cpu.threadNanos();
+        runCycles(cell, CYCLES);
+        double micros = (Cpu.threadNanos() - start) / 1_000.0 / CYCLES;
         System.out.printf(
                 "| %d | %.2f | %.1f | %.0f |%n",
-                outstanding, micros, (double) loop.messages() / CYCLES, (double) loop.bytes() / CYCLES);
+                otherGrants, micros, (double) cell.messages() / CYCLES, (double) cell.bytes() / CYCLES);
     }
 
-    private static void cycles(Loop loop, int count) {
+    private static void runCycles(LoopbackCell cell, int count) {
         for (int i = 0; i < count; i++) {
-            loop.release(0, loop.ask(0));
+            cell.release(0, cell.ask(0));
         }
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/GrantMeasurements.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/GrantMeasurements.java
@@ -1,16 +1,16 @@
 package org.dotterelcourse.coordination.grant.measure;
 
-/** Prints the tables of docs/measurements/GRANTS.md. */
+/** Measures the grant protocol and prints the tables of docs/measurements/GRANTS.md. */
 public final class GrantMeasurements {
     private GrantMeasurements() {}
 
     /**
-     * Measures and prints markdown.
+     * Runs all measurements and prints their results as Markdown.
      *
-     * @param args none
+     * @param args ignored
      */
     public static void main(String[] args) {
-        Heap.of(() -> new byte[1]);
+        Heap.retainedBytes(() -> new byte[1]);
         CycleCost.print();
         StateSize.print();
         TakeOverCost.print();
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Heap.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Heap.java
@@ -2,26 +2,26 @@
 
 import java.util.function.Supplier;
 
-/** Measures the memory that an object keeps alive, as the growth of the heap in use after collection. */
+/** Measures the memory retained by an object, as the growth of the used heap after garbage collection. */
 final class Heap {
-    private static final int COLLECTIONS = 4;
+    private static final int GC_RUNS = 4;
 
-    private static Object kept;
+    private static Object retained;
 
     private Heap() {}
 
-    /** Bytes that what the supplier makes keeps alive. */
-    static long of(Supplier<Object> supplier) {
-        kept = null;
-        long before = used();
-        kept = supplier.get();
-        long after = used();
-        kept = null;
+    /** Memory retained by the object that the supplier creates, in bytes. */
+    static long retainedBytes(Supplier<Object> supplier) {
+        retained = null;
+        long before = usedBytes();
+        retained = supplier.get();
+        long after = usedBytes();
+        retained = null;
         return after - before;
     }
 
-    private static long used() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+    private static long usedBytes() {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
         }
         Runtime runtime = Runtime.getRuntime();
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/Loop.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/LoopbackCell.java
@@ -18,11 +18,13 @@
 import org.dotterelcourse.coordination.grant.GrantSettings;
 import org.dotterelcourse.coordination.grant.OwnerEffect;
 
-/** One owner and some askers in one thread; messages between them are encoded and decoded, and counted. */
-final class Loop {
+/** One owner and several clients in one thread. Their messages are encoded, decoded and counted. */
+final class LoopbackCell {
     static final byte[] TERMS = new byte[120];
     static final byte[] OBSERVATION = new byte[24];
-    static final long FAR = 3_600_000_000_000L;
+
+    /** One hour, so that no ask reaches its deadline during a measurement. */
+    static final long REQUEST_TIMEOUT_NANOS = 3_600_000_000_000L;
 
     private static final String CELL = "sabla-llm/0";
     private static final GrantSettings SETTINGS =
@@ -30,57 +32,58 @@
 
     private final RandomGenerator random = new SplittableRandom(1);
     private final List<CellClient> clients = new ArrayList<>();
-    private final Deque<Runnable> queue = new ArrayDeque<>();
-    private final List<Long> granted = new ArrayList<>();
+    private final Deque<Runnable> undelivered = new ArrayDeque<>();
+    private final List<Long> grantedAsks = new ArrayList<>();
     private CellOwner owner;
     private String ownerName = "";
     private long messages;
     private long bytes;
-    private long now;
+    private long nowNanos;
 
-    Loop(int askers) {
-        for (int i = 0; i < askers; i++) {
+    LoopbackCell(int clientCount) {
+        for (int i = 0; i < clientCount; i++) {
             clients.add(new CellClient(CELL, 1, SETTINGS, new FifoArbiter(Map.of(), 0), random));
         }
     }
 
-    /** Gives the cell to a new owner and lets every message arrive. */
+    /** Makes a new owner take over the cell, and delivers all messages. */
     void takeOver(String name, int capacity) {
         ownerName = name;
         owner = CellOwner.builder(CELL, new FifoArbiter(Map.of("llm-1", capacity), Integer.MAX_VALUE), random)
                 .settings(SETTINGS)
-                .takeOver(now);
+                .takeOver(nowNanos);
         for (int i = 0; i < clients.size(); i++) {
-            perform(i, clients.get(i).ownerChanged(Optional.of(name), now));
+            perform(i, clients.get(i).ownerChanged(Optional.of(name), nowNanos));
         }
         deliver();
     }
 
     void settle() {
-        now += SETTINGS.settleNanos();
-        performOwner(owner.advance(now));
+        nowNanos += SETTINGS.settleNanos();
+        performOwner(owner.advance(nowNanos));
         deliver();
     }
 
-    /** One ask at one asker; what it leads to has happened on return. */
-    long ask(int asker) {
-        ClientEffect.Asked asked = clients.get(asker).ask(now, now + FAR, TERMS.clone(), now);
-        perform(asker, asked.effects());
+    /** Sends one ask by one client, delivers all resulting messages and returns the number of the ask. */
+    long ask(int client) {
+        ClientEffect.Asked asked =
+                clients.get(client).ask(nowNanos, nowNanos + REQUEST_TIMEOUT_NANOS, TERMS.clone(), nowNanos);
+        perform(client, asked.effects());
         deliver();
         return asked.ask();
     }
 
-    void release(int asker, long ask) {
-        clients.get(asker).tryUse(ask, now);
-        perform(asker, clients.get(asker).release(ask, OBSERVATION, now));
+    void release(int client, long ask) {
+        clients.get(client).tryUse(ask, nowNanos);
+        perform(client, clients.get(client).release(ask, OBSERVATION, nowNanos));
         deliver();
     }
 
-    /** One renewal by each asker. */
+    /** Sends one renewal by each client, and delivers all messages. */
     void renew() {
-        now += SETTINGS.renewNanos();
+        nowNanos += SETTINGS.renewNanos();
         for (int i = 0; i < clients.size(); i++) {
-            perform(i, clients.get(i).advance(now));
+            perform(i, clients.get(i).advance(nowNanos));
         }
         deliver();
     }
@@ -89,7 +92,7 @@
         return owner;
     }
 
-    CellClient client() {
+    CellClient firstClient() {
         return clients.get(0);
     }
 
@@ -104,21 +107,21 @@
     void resetCounters() {
         messages = 0;
         bytes = 0;
-        granted.clear();
+        grantedAsks.clear();
     }
 
     void dropOwner() {
         owner = null;
     }
 
-    private void perform(int asker, List<ClientEffect> effects) {
+    private void perform(int client, List<ClientEffect> effects) {
         for (ClientEffect effect : effects) {
             if (effect instanceof ClientEffect.Send send) {
                 byte[] body = encode(send.message());
-                queue.add(() ->
-                        performOwner(owner.onMessage(Integer.toString(asker), (GrantMessage.ToOwner) decode(body), now)));
+                undelivered.add(() -> performOwner(
+                        owner.onMessage(Integer.toString(client), (GrantMessage.ToOwner) decode(body), nowNanos)));
             } else if (effect instanceof ClientEffect.Granted grant) {
-                granted.add(grant.ask());
+                grantedAsks.add(grant.ask());
             }
         }
     }
@@ -126,17 +129,18 @@
     private void performOwner(List<OwnerEffect> effects) {
         for (OwnerEffect effect : effects) {
             if (effect instanceof OwnerEffect.Send send) {
-                int asker = Integer.parseInt(send.to());
+                int client = Integer.parseInt(send.to());
                 byte[] body = encode(send.message());
-                queue.add(() ->
-                        perform(asker, clients.get(asker).onMessage(ownerName, (GrantMessage.ToClient) decode(body), now)));
+                undelivered.add(() -> perform(
+                        client,
+                        clients.get(client).onMessage(ownerName, (GrantMessage.ToClient) decode(body), nowNanos)));
             }
         }
     }
 
     private void deliver() {
-        while (!queue.isEmpty()) {
-            queue.removeFirst().run();
+        while (!undelivered.isEmpty()) {
+            undelivered.removeFirst().run();
         }
     }
 
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/StateSize.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/StateSize.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.coordination.grant.measure;
 
-/** What asks and grants keep alive in memory, and what renewing them costs on the wire. */
+/** Measures the memory retained by asks and grants, and the bytes that their renewals send. */
 final class StateSize {
     private static final int[] SIZES = {10_000, 50_000, 100_000, 200_000};
 
@@ -10,50 +10,50 @@
         System.out.println("### State of waiting asks and outstanding grants");
         System.out.println();
         System.out.println(
-                "Heap after collection of owner with arbiter, and asker, together; terms of 120 bytes. Wire: a"
+                "Heap after garbage collection of owner, arbiter and client together; terms of 120 bytes. Bytes sent: a"
                         + " renewal and its answer, once a second.");
         System.out.println();
-        Heap.of(() -> filled(SIZES[0], 0));
-        System.out.println("| what | count | bytes each | slope, bytes each | renewal, bytes each |");
+        Heap.retainedBytes(() -> filledCell(SIZES[0], 0));
+        System.out.println("| state | count | bytes each | slope, bytes each | renewal, bytes each |");
         System.out.println("| --- | ---: | ---: | ---: | ---: |");
-        rows("waiting ask", 0);
-        rows("outstanding grant", Integer.MAX_VALUE);
+        printRows("waiting ask", 0);
+        printRows("outstanding grant", Integer.MAX_VALUE);
         System.out.println();
     }
 
-    private static void rows(String what, int capacity) {
+    private static void printRows(String kind, int capacity) {
         long lastBytes = 0;
         int lastCount = 0;
         for (int count : SIZES) {
-            long bytes = Heap.of(() -> filled(count, capacity));
+            long bytes = Heap.retainedBytes(() -> filledCell(count, capacity));
             double slope = (double) (bytes - lastBytes) / (count - lastCount);
             System.out.printf(
                     "| %s | %d | %.0f | %s | %.1f |%n",
-                    what,
+                    kind,
                     count,
                     (double) bytes / count,
                     lastCount == 0 ? "" : String.format("%.0f", slope),
-                    renewal(count, capacity));
+                    renewalBytes(count, capacity));
             lastBytes = bytes;
             lastCount = count;
         }
     }
 
-    private static double renewal(int count, int capacity) {
-        Loop loop = filled(count, capacity);
-        loop.resetCounters();
-        loop.renew();
-        return (double) loop.bytes() / count;
+    private static double renewalBytes(int count, int capacity) {
+        LoopbackCell cell = filledCell(count, capacity);
+        cell.resetCounters();
+        cell.renew();
+        return (double) cell.bytes() / count;
     }
 
-    private static Loop filled(int count, int capacity) {
-        Loop loop = new Loop(1);
-        loop.takeOver("entry-1", capacity);
-        loop.settle();
+    private static LoopbackCell filledCell(int count, int capacity) {
+        LoopbackCell cell = new LoopbackCell(1);
+        cell.takeOver("entry-1", capacity);
+        cell.settle();
         for (int i = 0; i < count; i++) {
-            loop.ask(0);
+            cell.ask(0);
         }
-        loop.resetCounters();
-        return loop;
+        cell.resetCounters();
+        return cell;
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/package-info.java
@@ -1,2 +1,2 @@
-/** Prints what grants and tickets cost: processor time, memory, messages. Opens no socket. */
+/** Measures CPU time, memory and messages of grants and tickets, within one process and without sockets. */
 package org.dotterelcourse.coordination.grant.measure;
