--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleetTest.java
@@ -20,7 +20,7 @@
     @Property(tries = 60, seed = "11", shrinking = ShrinkingMode.OFF)
     void oneOwnerNeverExceedsTheCapacity(@ForAll long seed) {
         GrantFleet fleet = new GrantFleet(seed, MEMBERS, settings(LOCAL_MODE_DISABLED_NANOS), VIEW_DELAY_NANOS);
-        fleet.network.faults(0.1, 0.1, 60 * MILLI_NANOS);
+        fleet.network.setFaults(0.1, 0.1, 60 * MILLI_NANOS);
         for (int round = 0; round < ROUNDS; round++) {
             addRequests(fleet, 5);
             GrantNode node = fleet.nodes.get(1 + fleet.random.nextInt(MEMBERS - 1));
@@ -45,7 +45,7 @@
     @Property(tries = 60, seed = "12", shrinking = ShrinkingMode.OFF)
     void takeOversDoNotExceedTheCapacity(@ForAll long seed) {
         GrantFleet fleet = new GrantFleet(seed, MEMBERS, settings(LOCAL_MODE_DISABLED_NANOS), VIEW_DELAY_NANOS);
-        fleet.network.faults(0.05, 0.1, 40 * MILLI_NANOS);
+        fleet.network.setFaults(0.05, 0.1, 40 * MILLI_NANOS);
         for (int round = 0; round < ROUNDS; round++) {
             addRequests(fleet, 5);
             if (round % 10 == 5) {
@@ -68,7 +68,7 @@
     @Property(tries = 60, seed = "13", shrinking = ShrinkingMode.OFF)
     void twoOwnersInAPartitionUseAtMostTwiceTheCapacity(@ForAll long seed) {
         GrantFleet fleet = new GrantFleet(seed, MEMBERS, settings(LOCAL_MODE_DISABLED_NANOS), VIEW_DELAY_NANOS);
-        fleet.network.faults(0.05, 0.05, 40 * MILLI_NANOS);
+        fleet.network.setFaults(0.05, 0.05, 40 * MILLI_NANOS);
         for (int round = 0; round < ROUNDS; round++) {
             addRequests(fleet, 8);
             if (round == ROUNDS / 4) {
@@ -110,7 +110,7 @@
     @Property(tries = 40, seed = "16", shrinking = ShrinkingMode.OFF)
     void pausesOfTheOwnerLeadToAtMostTwiceTheCapacity(@ForAll long seed) {
         GrantFleet fleet = new GrantFleet(seed, MEMBERS, settings(600 * MILLI_NANOS), VIEW_DELAY_NANOS);
-        fleet.network.faults(0.05, 0.1, 40 * MILLI_NANOS);
+        fleet.network.setFaults(0.05, 0.1, 40 * MILLI_NANOS);
         for (int round = 0; round < ROUNDS; round++) {
             addRequests(fleet, 8);
             if (round % 8 == 4) {
@@ -129,7 +129,7 @@
     @Property(tries = 150, seed = "15", shrinking = ShrinkingMode.OFF)
     void noRequestRunsTwiceAndEveryAskIsAnsweredAfterTheFaultsEnd(@ForAll long seed) {
         GrantFleet fleet = new GrantFleet(seed, MEMBERS, settings(600 * MILLI_NANOS), VIEW_DELAY_NANOS);
-        fleet.network.faults(0.2, 0.2, 400 * MILLI_NANOS);
+        fleet.network.setFaults(0.2, 0.2, 400 * MILLI_NANOS);
         for (int round = 0; round < ROUNDS; round++) {
             addRequests(fleet, 4);
             injectFault(fleet);
@@ -183,7 +183,7 @@
      * need for the backlog.
      */
     private static void healAndDrain(GrantFleet fleet) {
-        fleet.network.faults(0, 0, MILLI_NANOS);
+        fleet.network.setFaults(0, 0, MILLI_NANOS);
         fleet.nodes.stream().filter(node -> !node.alive).forEach(GrantNode::restart);
         fleet.nodes.forEach(node -> node.pause(0));
         heal(fleet);
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyNetwork.java
@@ -53,7 +53,7 @@
      * @param duplicationShare probability that a packet is sent twice, from 0 to 1
      * @param delayNanos maximum delay in nanoseconds
      */
-    public void faults(double lossShare, double duplicationShare, long delayNanos) {
+    public void setFaults(double lossShare, double duplicationShare, long delayNanos) {
         loss = lossShare;
         duplication = duplicationShare;
         maxDelayNanos = delayNanos;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -168,7 +168,7 @@
     @Property(tries = 60, seed = "31", shrinking = ShrinkingMode.OFF)
     void withOneHomeTheBudgetIsNeverExceeded(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.05, 0.3, 50 * MILLI);
+        fleet.wire.setFaults(0.05, 0.3, 50 * MILLI);
         for (int round = 0; round < 100; round++) {
             fleet.run(100 * MILLI, fleet.random.nextInt(12));
             Node node = fleet.nodes.get(1 + fleet.random.nextInt(3));
@@ -203,7 +203,7 @@
     @Property(tries = 30, seed = "38", shrinking = ShrinkingMode.OFF)
     void eachHomeThatOpensFullAddsOneBurstAtMost(@ForAll long seed) {
         Fleet fleet = new Fleet(seed, SETTINGS.withOpening(1));
-        fleet.wire.faults(0.05, 0.1, 50 * MILLI);
+        fleet.wire.setFaults(0.05, 0.1, 50 * MILLI);
         int homes = 1;
         for (int round = 0; round < 12; round++) {
             fleet.run(1_500 * MILLI, 6);
@@ -261,7 +261,7 @@
     @Property(tries = 30, seed = "34", shrinking = ShrinkingMode.OFF)
     void twoHomesGiveAtMostTwiceTheRate(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.05, 0.1, 50 * MILLI);
+        fleet.wire.setFaults(0.05, 0.1, 50 * MILLI);
         fleet.run(5_000 * MILLI, 6);
         Amount before = fleet.charged;
         long since = fleet.now;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -187,7 +187,7 @@
     @Property(tries = 200, seed = "21", shrinking = ShrinkingMode.OFF)
     void aTicketRunsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.15, 0.2, 700 * MILLI);
+        fleet.wire.setFaults(0.15, 0.2, 700 * MILLI);
         for (int round = 0; round < 300; round++) {
             Node node = fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size()));
             if (fleet.now >= node.pausedUntil) {
@@ -204,7 +204,7 @@
     @Property(tries = 50, seed = "22", shrinking = ShrinkingMode.OFF)
     void everyCallGetsItsVerdictWithinTheTimeout(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.5, 0.2, 700 * MILLI);
+        fleet.wire.setFaults(0.5, 0.2, 700 * MILLI);
         for (int round = 0; round < 100; round++) {
             fleet.callerActs(fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size())));
             fleet.step();
@@ -223,12 +223,12 @@
     @Property(tries = 50, seed = "23", shrinking = ShrinkingMode.OFF)
     void afterTheFleetHealsEveryOutcomeIsKnown(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.4, 0.2, 700 * MILLI);
+        fleet.wire.setFaults(0.4, 0.2, 700 * MILLI);
         for (int round = 0; round < 200; round++) {
             fleet.callerActs(fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size())));
             fleet.step();
         }
-        fleet.wire.faults(0, 0, MILLI);
+        fleet.wire.setFaults(0, 0, MILLI);
         for (int i = 0; i < 600; i++) {
             fleet.step();
         }
