--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantFleet.java
@@ -122,7 +122,7 @@
 
     void step() {
         nowNanos += STEP_NANOS;
-        for (LossyNetwork.Packet packet : network.arrived(nowNanos)) {
+        for (LossyNetwork.Packet packet : network.pollArrived(nowNanos)) {
             node(packet.to()).receive(packet);
         }
         for (GrantNode node : nodes) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyNetwork.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/LossyNetwork.java
@@ -108,7 +108,7 @@
      * @param nowNanos current simulated time in nanoseconds
      * @return the packets in order of arrival, without those between different partitions
      */
-    public List<Packet> arrived(long nowNanos) {
+    public List<Packet> pollArrived(long nowNanos) {
         List<Packet> due = new ArrayList<>();
         while (!packets.isEmpty() && packets.peek().dueNanos() <= nowNanos) {
             Packet packet = packets.poll();
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -109,7 +109,7 @@
 
         void step(int callsOfAll) {
             now += STEP;
-            for (LossyNetwork.Packet packet : wire.arrived(now)) {
+            for (LossyNetwork.Packet packet : wire.pollArrived(now)) {
                 nodes.stream().filter(node -> node.name.equals(packet.to())).forEach(node -> node.inbox.add(packet));
             }
             for (Node node : nodes) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -153,7 +153,7 @@
 
         void step() {
             now += 10 * MILLI;
-            for (LossyNetwork.Packet packet : wire.arrived(now)) {
+            for (LossyNetwork.Packet packet : wire.pollArrived(now)) {
                 nodes.stream().filter(node -> node.name.equals(packet.to())).forEach(node -> node.inbox.add(packet));
             }
             for (Node node : nodes) {
