--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantCodecTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/grant/GrantCodecTest.java
@@ -33,14 +33,14 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void aMessageSurvivesTheWire(GrantMessage message) {
+    void decodesEachMessageAsItWasEncoded(GrantMessage message) {
         GrantCodec.Decoded decoded = GrantCodec.decode(GrantCodec.encode(message));
 
         assertThat(decoded).usingRecursiveComparison().isEqualTo(new GrantCodec.Decoded.Message(message));
     }
 
     @Test
-    void bytesOfAnotherProtocolAreMalformed() {
+    void reportsBytesOfAnotherProtocolAsMalformed() {
         assertThat(GrantCodec.decode(new byte[] {(byte) 0xff, 1, 2})).isInstanceOf(GrantCodec.Decoded.Malformed.class);
         assertThat(GrantCodec.decode(new byte[0])).isInstanceOf(GrantCodec.Decoded.Malformed.class);
     }
@@ -50,6 +50,6 @@
     }
 
     private static GrantMessage reply(GrantMessage.Reply body) {
-        return new GrantMessage.ToAsker("sabla-llm/0", 4, 9, 77, 3, body);
+        return new GrantMessage.ToClient("sabla-llm/0", 4, 9, 77, 3, body);
     }
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
-import org.dotterelcourse.coordination.grant.LossyWire;
+import org.dotterelcourse.coordination.grant.LossyNetwork;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -27,7 +27,7 @@
         private String homeView = "entry-0";
         private LimitClient client;
         private LimitHome home;
-        private final List<LossyWire.Packet> inbox = new ArrayList<>();
+        private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
 
         Node(String name, LimitSettings settings) {
             this.name = name;
@@ -68,7 +68,7 @@
 
     private static final class Fleet {
         private final SplittableRandom random;
-        private final LossyWire wire;
+        private final LossyNetwork wire;
         private final List<Node> nodes = new ArrayList<>();
         private Amount charged = Amount.NOTHING;
         private long now;
@@ -79,7 +79,7 @@
 
         Fleet(long seed, LimitSettings settings) {
             random = new SplittableRandom(seed);
-            wire = new LossyWire(random);
+            wire = new LossyNetwork(random);
             for (int i = 0; i < 4; i++) {
                 nodes.add(new Node("entry-" + i, settings));
             }
@@ -109,7 +109,7 @@
 
         void step(int callsOfAll) {
             now += STEP;
-            for (LossyWire.Packet packet : wire.arrived(now)) {
+            for (LossyNetwork.Packet packet : wire.pollArrived(now)) {
                 nodes.stream().filter(node -> node.name.equals(packet.to())).forEach(node -> node.inbox.add(packet));
             }
             for (Node node : nodes) {
@@ -126,9 +126,9 @@
         }
 
         void act(Node node) {
-            List<LossyWire.Packet> packets = List.copyOf(node.inbox);
+            List<LossyNetwork.Packet> packets = List.copyOf(node.inbox);
             node.inbox.clear();
-            for (LossyWire.Packet packet : packets) {
+            for (LossyNetwork.Packet packet : packets) {
                 LimitMessage message = ((LimitCodec.Decoded.Message) LimitCodec.decode(packet.body())).message();
                 if (message instanceof LimitMessage.Slices slices) {
                     perform(node, node.client.on(slices, now));
@@ -168,7 +168,7 @@
     @Property(tries = 60, seed = "31", shrinking = ShrinkingMode.OFF)
     void withOneHomeTheBudgetIsNeverExceeded(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.05, 0.3, 50 * MILLI);
+        fleet.wire.setFaults(0.05, 0.3, 50 * MILLI);
         for (int round = 0; round < 100; round++) {
             fleet.run(100 * MILLI, fleet.random.nextInt(12));
             Node node = fleet.nodes.get(1 + fleet.random.nextInt(3));
@@ -203,7 +203,7 @@
     @Property(tries = 30, seed = "38", shrinking = ShrinkingMode.OFF)
     void eachHomeThatOpensFullAddsOneBurstAtMost(@ForAll long seed) {
         Fleet fleet = new Fleet(seed, SETTINGS.withOpening(1));
-        fleet.wire.faults(0.05, 0.1, 50 * MILLI);
+        fleet.wire.setFaults(0.05, 0.1, 50 * MILLI);
         int homes = 1;
         for (int round = 0; round < 12; round++) {
             fleet.run(1_500 * MILLI, 6);
@@ -261,12 +261,12 @@
     @Property(tries = 30, seed = "34", shrinking = ShrinkingMode.OFF)
     void twoHomesGiveAtMostTwiceTheRate(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.05, 0.1, 50 * MILLI);
+        fleet.wire.setFaults(0.05, 0.1, 50 * MILLI);
         fleet.run(5_000 * MILLI, 6);
         Amount before = fleet.charged;
         long since = fleet.now;
         for (int i = 2; i < 4; i++) {
-            fleet.wire.side(fleet.nodes.get(i).name, 1);
+            fleet.wire.assignPartition(fleet.nodes.get(i).name, 1);
             fleet.nodes.get(i).home("entry-2");
         }
         fleet.nodes.get(2).becomesHome(fleet.now);
@@ -286,9 +286,9 @@
         fleet.run(5_000 * MILLI, 6);
         Amount before = fleet.charged;
         long since = fleet.now;
-        fleet.wire.side("entry-2", 1);
+        fleet.wire.assignPartition("entry-2", 1);
         fleet.run(7_000 * MILLI, 6);
-        fleet.wire.side("entry-3", 2);
+        fleet.wire.assignPartition("entry-3", 2);
         fleet.run(20_000 * MILLI, 6);
         assertThat(fleet.nodes.get(2).client.alone(CUSTOMER)).isTrue();
         assertThat(fleet.nodes.get(3).client.alone(CUSTOMER)).isTrue();
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.dotterelcourse.coordination.MemberId;
-import org.dotterelcourse.coordination.grant.LossyWire;
+import org.dotterelcourse.coordination.grant.LossyNetwork;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -34,7 +34,7 @@
         private final String name;
         private final Map<Long, Ticket> calls = new HashMap<>();
         private final Map<Long, Long> endsAt = new HashMap<>();
-        private final List<LossyWire.Packet> inbox = new ArrayList<>();
+        private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
         private long life;
         private long pausedUntil;
         private TicketMint mint;
@@ -65,7 +65,7 @@
     /** Nodes, callers and the tickets that were made. */
     private static final class Fleet {
         private final SplittableRandom random;
-        private final LossyWire wire;
+        private final LossyNetwork wire;
         private final List<Node> nodes = new ArrayList<>();
         private final List<Ticket> tickets = new ArrayList<>();
         private int spent;
@@ -74,7 +74,7 @@
 
         Fleet(long seed) {
             random = new SplittableRandom(seed);
-            wire = new LossyWire(random);
+            wire = new LossyNetwork(random);
             for (int i = 0; i < 4; i++) {
                 nodes.add(new Node("entry-" + i, random));
             }
@@ -153,7 +153,7 @@
 
         void step() {
             now += 10 * MILLI;
-            for (LossyWire.Packet packet : wire.arrived(now)) {
+            for (LossyNetwork.Packet packet : wire.pollArrived(now)) {
                 nodes.stream().filter(node -> node.name.equals(packet.to())).forEach(node -> node.inbox.add(packet));
             }
             for (Node node : nodes) {
@@ -164,9 +164,9 @@
         }
 
         void act(Node node) {
-            List<LossyWire.Packet> packets = List.copyOf(node.inbox);
+            List<LossyNetwork.Packet> packets = List.copyOf(node.inbox);
             node.inbox.clear();
-            for (LossyWire.Packet packet : packets) {
+            for (LossyNetwork.Packet packet : packets) {
                 TicketMessage message = ((TicketCodec.Decoded.Message) TicketCodec.decode(packet.body())).message();
                 perform(node, node.desk.on(packet.from(), message, now));
             }
@@ -187,7 +187,7 @@
     @Property(tries = 200, seed = "21", shrinking = ShrinkingMode.OFF)
     void aTicketRunsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.15, 0.2, 700 * MILLI);
+        fleet.wire.setFaults(0.15, 0.2, 700 * MILLI);
         for (int round = 0; round < 300; round++) {
             Node node = fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size()));
             if (fleet.now >= node.pausedUntil) {
@@ -204,7 +204,7 @@
     @Property(tries = 50, seed = "22", shrinking = ShrinkingMode.OFF)
     void everyCallGetsItsVerdictWithinTheTimeout(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.5, 0.2, 700 * MILLI);
+        fleet.wire.setFaults(0.5, 0.2, 700 * MILLI);
         for (int round = 0; round < 100; round++) {
             fleet.callerActs(fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size())));
             fleet.step();
@@ -223,12 +223,12 @@
     @Property(tries = 50, seed = "23", shrinking = ShrinkingMode.OFF)
     void afterTheFleetHealsEveryOutcomeIsKnown(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.faults(0.4, 0.2, 700 * MILLI);
+        fleet.wire.setFaults(0.4, 0.2, 700 * MILLI);
         for (int round = 0; round < 200; round++) {
             fleet.callerActs(fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size())));
             fleet.step();
         }
-        fleet.wire.faults(0, 0, MILLI);
+        fleet.wire.setFaults(0, 0, MILLI);
         for (int i = 0; i < 600; i++) {
             fleet.step();
         }
@@ -242,8 +242,8 @@
         switch (fleet.random.nextInt(40)) {
             case 0 -> node.pause(fleet.now + fleet.random.nextLong(2_500 * MILLI));
             case 1 -> node.restart(fleet.random);
-            case 2 -> fleet.wire.side(node.name, 1);
-            case 3, 4 -> fleet.nodes.forEach(each -> fleet.wire.side(each.name, 0));
+            case 2 -> fleet.wire.assignPartition(node.name, 1);
+            case 3, 4 -> fleet.nodes.forEach(each -> fleet.wire.assignPartition(each.name, 0));
             default -> {}
         }
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -78,7 +78,7 @@
         return new CellStatus(
                 key,
                 ownerName,
-                client.localMode(),
+                client.isLocalMode(),
                 client.size(),
                 waiting,
                 held,
@@ -132,13 +132,13 @@
         ownedArbiter.workers(published.infos(), nowNanos);
         owned = CellOwner.builder(key, ownedArbiter, random)
                 .settings(settings)
-                .expectedAskers(askers)
+                .expectedClients(askers)
                 .takeOver(nowNanos);
     }
 
     void askerGone(String member, long nowNanos) {
         if (owned != null) {
-            owner(owned.askerGone(member, nowNanos), nowNanos);
+            owner(owned.onClientDead(member, nowNanos), nowNanos);
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     boolean mayUse(long ask, long nowNanos) {
-        GrantCheck check = client.mayUse(ask, nowNanos);
+        GrantCheck check = client.tryUse(ask, nowNanos);
         if (check instanceof GrantCheck.LeaseExpired expired) {
             client(expired.effects(), nowNanos);
         } else if (check instanceof GrantCheck.DeadlinePassed passed) {
@@ -177,13 +177,13 @@
     }
 
     void received(String from, GrantMessage message, long nowNanos) {
-        if (message instanceof GrantMessage.ToAsker toAsker) {
-            client(client.on(from, toAsker, nowNanos), nowNanos);
+        if (message instanceof GrantMessage.ToClient toAsker) {
+            client(client.onMessage(from, toAsker, nowNanos), nowNanos);
         } else if (message instanceof GrantMessage.ToOwner toOwner) {
             if (owned == null) {
                 wire.send(from, CellOwner.notOwner(toOwner, ownerName));
             } else {
-                owner(owned.on(from, toOwner, nowNanos), nowNanos);
+                owner(owned.onMessage(from, toOwner, nowNanos), nowNanos);
             }
         }
     }
