--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientsEdge.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientHttpServer.java
@@ -32,9 +32,9 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /** Takes clients' requests, reads them whole, and answers them with what the forwarder brings. */
-public final class ClientsEdge implements Service {
+public final class ClientHttpServer implements Service {
     /** The name that it is found by. */
-    public static final ServiceName<ClientsEdge> NAME = new ServiceName<>("clients-edge", ClientsEdge.class);
+    public static final ServiceName<ClientHttpServer> NAME = new ServiceName<>("clients-edge", ClientHttpServer.class);
 
     /**
      * Most that a request is taken to have waited. After a pause of the whole process its last timer was later by far than
@@ -87,14 +87,14 @@
      * @param listen where to listen
      * @param dialect how clients spell things
      */
-    public ClientsEdge(Listen listen, Dialect dialect) {
+    public ClientHttpServer(Listen listen, Dialect dialect) {
         this.listen = listen;
         this.dialect = dialect;
         this.admission = new Admission(dialect);
     }
 
     @Override
-    public ServiceName<ClientsEdge> name() {
+    public ServiceName<ClientHttpServer> name() {
         return NAME;
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
@@ -32,7 +32,7 @@
     private final long graceMillis;
     private final CountDownLatch done = new CountDownLatch(1);
     private GatewayLoop loop;
-    private ClientsEdge edge;
+    private ClientHttpServer edge;
     private Peers peers;
     private AuditTrail audit;
     private volatile boolean begun;
@@ -54,13 +54,13 @@
 
     @Override
     public List<ServiceName<?>> dependencies() {
-        return List.of(GatewayLoop.NAME, ClientsEdge.NAME, Peers.NAME, AuditTrail.NAME);
+        return List.of(GatewayLoop.NAME, ClientHttpServer.NAME, Peers.NAME, AuditTrail.NAME);
     }
 
     @Override
     public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
-        edge = kernel.find(ClientsEdge.NAME);
+        edge = kernel.find(ClientHttpServer.NAME);
         peers = kernel.find(Peers.NAME);
         audit = kernel.find(AuditTrail.NAME);
         return List.of();
@@ -80,9 +80,9 @@
             begun = true;
             beganNanos = loop.nowNanos();
             audit.add(AuditEvent.Kind.PROCESS, peers.self(), "SIGTERM", "serving", "leaving");
-            edge.phase(ClientsEdge.Phase.LEAVING);
+            edge.phase(ClientHttpServer.Phase.LEAVING);
             peers.leave();
-            loop.after(LEAVING_MILLIS, () -> edge.phase(ClientsEdge.Phase.CLOSING));
+            loop.after(LEAVING_MILLIS, () -> edge.phase(ClientHttpServer.Phase.CLOSING));
             loop.after(LEAVING_MILLIS + LOOK_MILLIS, this::look);
         });
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
@@ -12,7 +12,7 @@
 import org.dotterelcourse.daemon.kernel.StartupFailure;
 import org.dotterelcourse.daemon.peers.Peers;
 import org.dotterelcourse.gateway.GatewayState;
-import org.dotterelcourse.gateway.edge.ClientsEdge;
+import org.dotterelcourse.gateway.edge.ClientHttpServer;
 import org.dotterelcourse.gateway.edge.Shutdown;
 
 /** Which addresses a client may connect to, by what this process knows of its peers. */
@@ -32,7 +32,7 @@
 
     @Override
     public List<ServiceName<?>> dependencies() {
-        return List.of(Peers.NAME, Shutdown.NAME, GatewayState.NAME, ClientsEdge.NAME);
+        return List.of(Peers.NAME, Shutdown.NAME, GatewayState.NAME, ClientHttpServer.NAME);
     }
 
     @Override
@@ -40,7 +40,7 @@
         peers = kernel.find(Peers.NAME);
         shutdown = kernel.find(Shutdown.NAME);
         state = kernel.find(GatewayState.NAME);
-        peers.publishCallersPort(kernel.find(ClientsEdge.NAME).port());
+        peers.publishCallersPort(kernel.find(ClientHttpServer.NAME).port());
         return List.of();
     }
 
