--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientHttpServer.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientHttpServer.java
@@ -52,7 +52,7 @@
 
     private static final Duration STOP_LIMIT = Duration.ofMillis(200);
 
-    private final Listen listen;
+    private final ListenAddress listen;
     private final Dialect dialect;
     private final Admission admission;
     private final InFlight inFlight = new InFlight();
@@ -79,7 +79,7 @@
      * @param address IP number
      * @param port TCP port, 0 for any free one
      */
-    public record Listen(String address, int port) {}
+    public record ListenAddress(String address, int port) {}
 
     /**
      * Makes an edge that doesn't listen yet.
@@ -87,7 +87,7 @@
      * @param listen where to listen
      * @param dialect how clients spell things
      */
-    public ClientHttpServer(Listen listen, Dialect dialect) {
+    public ClientHttpServer(ListenAddress listen, Dialect dialect) {
         this.listen = listen;
         this.dialect = dialect;
         this.admission = new Admission(dialect);
