--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
@@ -92,7 +92,7 @@
      *
      * @return true from the signal on
      */
-    public boolean begun() {
+    public boolean hasBegun() {
         return begun;
     }
 
