--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -57,7 +57,7 @@
      * @param headers the request's, as they go to the worker
      * @param told what to tell
      */
-    void tellWorker(HttpHeaders headers, ToWorker told);
+    void addWorkerHeaders(HttpHeaders headers, ToWorker told);
 
     /**
      * What the router tells a worker.
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -312,7 +312,7 @@
         HttpHeaders headers = new DefaultHttpHeaders().add(call.headers());
         Call.Terms terms = call.terms();
         long left = Math.max(1, call.leftMillis(loop.nowNanos()));
-        dialect.tellWorker(
+        dialect.addWorkerHeaders(
                 headers,
                 new Dialect.ToWorker(
                         placed.placement().entry().id(),
