--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -57,20 +57,20 @@
      * @param headers the request's, as they go to the worker
      * @param told what to tell
      */
-    void addWorkerHeaders(HttpHeaders headers, ToWorker told);
+    void addWorkerHeaders(HttpHeaders headers, WorkerRequestInfo told);
 
     /**
      * What the router tells a worker.
      *
      * @param workerId the worker that the request is meant for
      * @param customer whose request it is, empty if nobody's
-     * @param leftMillis how long the client will still wait
+     * @param remainingMillis how long the client will still wait
      * @param priority urgency, 0 the highest
-     * @param engine whether the worker is a model engine
+     * @param isEngine whether the worker is a model engine
      * @param fetchFrom address of the engine from which to fetch parts of the prompt, empty if from none
      */
-    record ToWorker(
-            String workerId, String customer, long leftMillis, int priority, boolean engine, String fetchFrom) {}
+    record WorkerRequestInfo(
+            String workerId, String customer, long remainingMillis, int priority, boolean isEngine, String fetchFrom) {}
 
     /**
      * Whether an answer bears a worker's own mark, without which it is no worker's answer.
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -314,7 +314,7 @@
         long left = Math.max(1, call.leftMillis(loop.nowNanos()));
         dialect.addWorkerHeaders(
                 headers,
-                new Dialect.ToWorker(
+                new Dialect.WorkerRequestInfo(
                         placed.placement().entry().id(),
                         terms.customer(),
                         left,
