--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AnswerCheck.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AnswerCheck.java
@@ -13,7 +13,7 @@
 
     /** Whether an answer is a worker's and belongs to the request; its body is not looked at. */
     boolean own(Call call, OpenAnswer open) {
-        return dialect.marked(open.headers()) && answers(call, open.headers());
+        return dialect.hasWorkerStamp(open.headers()) && answers(call, open.headers());
     }
 
     /** Whether an answer names the request that it is for, whoever gave it. */
@@ -37,7 +37,7 @@
         if (!answers(call, answer.headers())) {
             return new AttemptResult.Unknown("an answer to another request came");
         }
-        if (!dialect.marked(answer.headers()) || encoded(answer.headers())) {
+        if (!dialect.hasWorkerStamp(answer.headers()) || encoded(answer.headers())) {
             return new AttemptResult.Unknown("the answer is not a worker's");
         }
         if (StatusPromise.notRun(answer.status())) {
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -78,7 +78,7 @@
      * @param headers the answer's
      * @return true if it does
      */
-    boolean marked(HttpHeaders headers);
+    boolean hasWorkerStamp(HttpHeaders headers);
 
     /**
      * Whether a worker's answer says that it has not run the request and never will.
