--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AnswerCheck.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AnswerCheck.java
@@ -31,7 +31,7 @@
 
     /** What a whole answer says of the attempt. */
     AttemptResult classify(Call call, WholeAnswer answer) {
-        if (dialect.notRun(answer.status(), answer.headers())) {
+        if (dialect.isNotExecuted(answer.status(), answer.headers())) {
             return new AttemptResult.NotRun("refused with " + answer.status(), true);
         }
         if (!answers(call, answer.headers())) {
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -87,7 +87,7 @@
      * @param headers the answer's
      * @return true only if it says so
      */
-    boolean notRun(int status, HttpHeaders headers);
+    boolean isNotExecuted(int status, HttpHeaders headers);
 
     /**
      * Reads how many requests a second a worker takes from all processes together.
