--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
@@ -120,7 +120,7 @@
                 .flatMap(value -> Stream.of(value.split(",")))
                 .map(each -> each.trim().toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
-        return without(headers, name -> named.contains(name) || dialect.reserved(name));
+        return without(headers, name -> named.contains(name) || dialect.isReserved(name));
     }
 
     /** A worker's headers without those of one connection. */
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -49,7 +49,7 @@
      * @param name the header's name in lower case
      * @return true if it must not be passed on
      */
-    boolean reserved(String name);
+    boolean isReserved(String name);
 
     /**
      * Adds to a request what the router has to tell the worker.
