--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
@@ -81,7 +81,7 @@
         if (route.isEmpty()) {
             return refused(new OwnAnswer(NOT_FOUND, "no route", 0));
         }
-        Optional<Customer> customer = table.customer(dialect.key(headers));
+        Optional<Customer> customer = table.customer(dialect.apiKey(headers));
         if (table.keyed() && !route.get().anonymous() && customer.isEmpty()) {
             return refused(new OwnAnswer(UNAUTHORIZED, "unknown key", 0));
         }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -32,7 +32,7 @@
      * @param headers the request's
      * @return the key, empty if there is none
      */
-    String key(HttpHeaders headers);
+    String apiKey(HttpHeaders headers);
 
     /**
      * Reads what a request asks of an engine.
