--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
@@ -101,7 +101,7 @@
                         headers,
                         LatencyClass.of(route.gapTargetMillis(), route.targetMillis(), upstream.tokensPerEvent()))
                 : Optional.empty();
-        long waits = dialect.waitMillis(headers).orElse(route.timeoutMillis());
+        long waits = dialect.clientTimeoutMillis(headers).orElse(route.timeoutMillis());
         long bound = Math.min(waits, route.timeoutMillis());
         return new Call.Terms(
                 id,
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -24,7 +24,7 @@
      * @param headers the request's
      * @return milliseconds from now; empty if it doesn't say, or not in figures
      */
-    OptionalLong waitMillis(HttpHeaders headers);
+    OptionalLong clientTimeoutMillis(HttpHeaders headers);
 
     /**
      * Reads a client's key.
