--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -95,7 +95,7 @@
      * @param headers the answer's
      * @return the rate, not negative; empty if the worker names none
      */
-    OptionalDouble requestsPerSecond(HttpHeaders headers);
+    OptionalDouble requestLimitPerSecond(HttpHeaders headers);
 
     /**
      * The header that names the last event a client has.
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -169,7 +169,7 @@
 
     /** A limit counts whatever the answer is; its end only where the worker has answered as it always does. */
     private void hearLimit(Call call, Placement placement, OpenAnswer open) {
-        OptionalDouble named = dialect.requestsPerSecond(open.headers());
+        OptionalDouble named = dialect.requestLimitPerSecond(open.headers());
         boolean whole = dialect.hasWorkerStamp(open.headers()) && open.status() / 100 == 2;
         if (check.answers(call, open.headers()) && (named.isPresent() || whole)) {
             state.limited(placement.entry(), named, loop.nowNanos());
