--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -102,5 +102,5 @@
      *
      * @return its name
      */
-    String lastEventHeader();
+    String lastEventIdHeader();
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -322,7 +322,7 @@
                         terms.upstream().engine(),
                         placed.fetchFrom()));
         if (!call.lastEventId().isEmpty()) {
-            headers.set(dialect.lastEventHeader(), call.lastEventId());
+            headers.set(dialect.lastEventIdHeader(), call.lastEventId());
         }
         return headers;
     }
