--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
@@ -13,7 +13,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import org.dotterelcourse.gateway.forward.Call;
 import org.dotterelcourse.gateway.forward.Dialect;
-import org.dotterelcourse.gateway.forward.OwnAnswer;
+import org.dotterelcourse.gateway.forward.LocalReply;
 import org.dotterelcourse.gateway.routing.Customer;
 import org.dotterelcourse.gateway.routing.Route;
 import org.dotterelcourse.gateway.routing.RoutingTable;
@@ -21,18 +21,18 @@
 import org.dotterelcourse.policy.selection.LatencyClass;
 import org.dotterelcourse.policy.selection.Prompt;
 
-/** Decides by the routing table whether a request is let in, and as what. */
+/** Admits or rejects requests by the routing table, and determines the attributes of admitted ones. */
 final class Admission {
     private static final int UNAUTHORIZED = 401;
     private static final int NOT_FOUND = 404;
     private static final int BAD_REQUEST = 400;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** A process that has just started reads its first routing table within a few hundred milliseconds. */
+    /** A process reads its first routing table within a few hundred milliseconds after its start. */
     private static final long RETRY_AFTER_START_MILLIS = 300;
 
-    /** Headers of RFC 9110, 7.6.1, that concern one connection, and those that the sender of a message sets itself. */
-    private static final Set<String> ONE_CONNECTION = Set.of(
+    /** Hop-by-hop headers of RFC 9110, 7.6.1, and headers that each sender of a message sets itself. */
+    private static final Set<String> HOP_BY_HOP_HEADERS = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -51,44 +51,44 @@
         this.dialect = dialect;
     }
 
-    /** The outcome: a call's terms, or the answer that refuses it. */
-    sealed interface Verdict {
+    /** Decision whether a request is admitted. */
+    sealed interface Decision {
         /**
-         * Let in.
+         * The request is admitted.
          *
-         * @param terms as what
+         * @param attributes the properties of the call, with its route, upstream and deadline
          */
-        record Admitted(Call.Terms terms) implements Verdict {}
+        record Admitted(Call.Attributes attributes) implements Decision {}
 
         /**
-         * Not let in.
+         * The request is rejected.
          *
-         * @param answer what the client is told
+         * @param reply the reply to send to the client
          */
-        record Refused(OwnAnswer answer) implements Verdict {}
+        record Rejected(LocalReply reply) implements Decision {}
     }
 
-    Verdict check(Optional<RoutingTable> current, HttpHeaders headers, String uri, long arrivalNanos) {
-        if (current.isEmpty()) {
-            return refused(OwnAnswer.notRun("no routing table yet", RETRY_AFTER_START_MILLIS));
+    Decision decide(Optional<RoutingTable> currentTable, HttpHeaders headers, String uri, long arrivalNanos) {
+        if (currentTable.isEmpty()) {
+            return rejected(LocalReply.notExecuted("no routing table yet", RETRY_AFTER_START_MILLIS));
         }
         String id = dialect.requestId(headers);
         if (id.isEmpty()) {
-            return refused(new OwnAnswer(BAD_REQUEST, "the request has no id", 0));
+            return rejected(new LocalReply(BAD_REQUEST, "the request has no id", 0));
         }
-        RoutingTable table = current.get();
+        RoutingTable table = currentTable.get();
         Optional<Route> route = table.route(headers.get(HttpHeaderNames.HOST, ""), path(uri));
         if (route.isEmpty()) {
-            return refused(new OwnAnswer(NOT_FOUND, "no route", 0));
+            return rejected(new LocalReply(NOT_FOUND, "no route", 0));
         }
         Optional<Customer> customer = table.customer(dialect.apiKey(headers));
         if (table.keyed() && !route.get().anonymous() && customer.isEmpty()) {
-            return refused(new OwnAnswer(UNAUTHORIZED, "unknown key", 0));
+            return rejected(new LocalReply(UNAUTHORIZED, "unknown key", 0));
         }
-        return new Verdict.Admitted(terms(table, route.get(), customer, headers, id, arrivalNanos));
+        return new Decision.Admitted(attributes(table, route.get(), customer, headers, id, arrivalNanos));
     }
 
-    private Call.Terms terms(
+    private Call.Attributes attributes(
             RoutingTable table,
             Route route,
             Optional<Customer> customer,
@@ -101,9 +101,9 @@
                         headers,
                         LatencyClass.of(route.gapTargetMillis(), route.targetMillis(), upstream.tokensPerEvent()))
                 : Optional.empty();
-        long waits = dialect.clientTimeoutMillis(headers).orElse(route.timeoutMillis());
-        long bound = Math.min(waits, route.timeoutMillis());
-        return new Call.Terms(
+        long clientTimeoutMillis = dialect.clientTimeoutMillis(headers).orElse(route.timeoutMillis());
+        long timeoutMillis = Math.min(clientTimeoutMillis, route.timeoutMillis());
+        return new Call.Attributes(
                 id,
                 route,
                 upstream,
@@ -111,32 +111,32 @@
                 table.urgency(route, customer),
                 prompt,
                 arrivalNanos,
-                arrivalNanos + bound * NANOS_PER_MILLI);
+                arrivalNanos + timeoutMillis * NANOS_PER_MILLI);
     }
 
-    /** The client's headers without those of one connection and those that only the router may set. */
-    HttpHeaders passedOn(HttpHeaders headers) {
-        Set<String> named = headers.getAll(HttpHeaderNames.CONNECTION).stream()
+    /** Returns a client's headers without hop-by-hop headers and those that only the router may set. */
+    HttpHeaders forwardedRequestHeaders(HttpHeaders headers) {
+        Set<String> connectionOptions = headers.getAll(HttpHeaderNames.CONNECTION).stream()
                 .flatMap(value -> Stream.of(value.split(",")))
-                .map(each -> each.trim().toLowerCase(Locale.ROOT))
+                .map(option -> option.trim().toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
-        return without(headers, name -> named.contains(name) || dialect.isReserved(name));
+        return copyWithout(headers, name -> connectionOptions.contains(name) || dialect.isReserved(name));
     }
 
-    /** A worker's headers without those of one connection. */
-    static HttpHeaders answerHeaders(HttpHeaders headers) {
-        return without(headers, name -> false);
+    /** Returns a worker's headers without hop-by-hop headers. */
+    static HttpHeaders forwardedResponseHeaders(HttpHeaders headers) {
+        return copyWithout(headers, name -> false);
     }
 
-    private static HttpHeaders without(HttpHeaders headers, Predicate<String> left) {
-        HttpHeaders passed = new DefaultHttpHeaders();
+    private static HttpHeaders copyWithout(HttpHeaders headers, Predicate<String> isExcluded) {
+        HttpHeaders copy = new DefaultHttpHeaders();
         for (Map.Entry<String, String> header : headers) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
-            if (!ONE_CONNECTION.contains(name) && !left.test(name)) {
-                passed.add(header.getKey(), header.getValue());
+            if (!HOP_BY_HOP_HEADERS.contains(name) && !isExcluded.test(name)) {
+                copy.add(header.getKey(), header.getValue());
             }
         }
-        return passed;
+        return copy;
     }
 
     private static String path(String uri) {
@@ -144,7 +144,7 @@
         return query < 0 ? uri : uri.substring(0, query);
     }
 
-    private static Verdict refused(OwnAnswer answer) {
-        return new Verdict.Refused(answer);
+    private static Decision rejected(LocalReply reply) {
+        return new Decision.Rejected(reply);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientHttpServer.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientHttpServer.java
@@ -19,7 +19,7 @@
 import org.dotterelcourse.gateway.forward.Call;
 import org.dotterelcourse.gateway.forward.Dialect;
 import org.dotterelcourse.gateway.forward.Forwarder;
-import org.dotterelcourse.gateway.forward.OwnAnswer;
+import org.dotterelcourse.gateway.forward.LocalReply;
 import org.dotterelcourse.gateway.forward.Reply;
 import org.reactivestreams.Publisher;
 import reactor.core.publisher.Flux;
@@ -31,64 +31,64 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Takes clients' requests, reads them whole, and answers them with what the forwarder brings. */
+/** HTTP server for clients. Reads each request completely, passes it to the {@link Forwarder} and sends the reply. */
 public final class ClientHttpServer implements Service {
-    /** The name that it is found by. */
+    /** The name under which the kernel registers the service. */
     public static final ServiceName<ClientHttpServer> NAME = new ServiceName<>("clients-edge", ClientHttpServer.class);
 
     /**
-     * Most that a request is taken to have waited. After a pause of the whole process its last timer was later by far than
-     * most requests that come then.
+     * Maximum time that a request is assumed to have waited before it was read. After a pause of the whole process, its
+     * timers are much later than most requests that arrive then.
      */
-    private static final long MOST_WAITED_MILLIS = 1_000;
+    private static final long MAX_READ_DELAY_MILLIS = 1_000;
 
-    private static final OwnAnswer TOO_LARGE = new OwnAnswer(413, "the body is too long", 0);
+    private static final LocalReply TOO_LARGE = new LocalReply(413, "the body is too long", 0);
 
-    /** Twice what clients may send by the published limits, so that those, not the parser, decide. */
+    /** Twice the published limit for clients, so that requests are rejected by that limit and not by the HTTP parser. */
     private static final int MAX_HEADER_BYTES = 32_768;
 
-    /** Above the idle limits in use (15 s), so that no connection is closed that a client may still use. */
-    private static final Duration IDLE = Duration.ofSeconds(90);
+    /** Above the clients' idle timeouts (15 s), so that no connection is closed that a client may still use. */
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(90);
 
-    private static final Duration STOP_LIMIT = Duration.ofMillis(200);
+    private static final Duration STOP_TIMEOUT = Duration.ofMillis(200);
 
-    private final ListenAddress listen;
+    private final ListenAddress listenAddress;
     private final Dialect dialect;
     private final Admission admission;
-    private final InFlight inFlight = new InFlight();
+    private final InFlightCounter inFlight = new InFlightCounter();
     private GatewayLoop loop;
     private GatewayState state;
-    private Turns turns;
+    private RequestPacer pacer;
     private Forwarder forwarder;
     private DisposableServer server;
     private volatile Phase phase = Phase.SERVING;
 
-    /** How far a shutdown has come. */
+    /** Phase of the process with regard to a shutdown. */
     public enum Phase {
-        /** No shutdown. */
+        /** No shutdown has begun: requests are accepted. */
         SERVING,
-        /** Serves those that don't know of the shutdown yet, and asks them to close their connections. */
+        /** Requests of clients that have not noticed the shutdown are accepted, with "Connection: close" in the reply. */
         LEAVING,
-        /** Serves what it has and takes nothing on. */
-        CLOSING
+        /** Requests in flight are completed, new ones are rejected. */
+        DRAINING
     }
 
     /**
-     * Where to listen.
+     * Address of the listening socket.
      *
-     * @param address IP number
-     * @param port TCP port, 0 for any free one
+     * @param address the IP address
+     * @param port the TCP port, 0 for any free port
      */
     public record ListenAddress(String address, int port) {}
 
     /**
-     * Makes an edge that doesn't listen yet.
+     * Creates a server, which listens only after {@link #start(Kernel)}.
      *
-     * @param listen where to listen
-     * @param dialect how clients spell things
+     * @param listenAddress the address to listen on
+     * @param dialect the platform-specific headers of clients
      */
-    public ClientHttpServer(ListenAddress listen, Dialect dialect) {
-        this.listen = listen;
+    public ClientHttpServer(ListenAddress listenAddress, Dialect dialect) {
+        this.listenAddress = listenAddress;
         this.dialect = dialect;
         this.admission = new Admission(dialect);
     }
@@ -107,14 +107,14 @@
     public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
         state = kernel.find(GatewayState.NAME);
-        turns = new Turns(loop);
+        pacer = new RequestPacer(loop);
         forwarder = kernel.find(Forwarder.NAME);
         try {
             server = HttpServer.create()
-                    .host(listen.address())
-                    .port(listen.port())
+                    .host(listenAddress.address())
+                    .port(listenAddress.port())
                     .runOn(loop.resources(), false)
-                    .idleTimeout(IDLE)
+                    .idleTimeout(IDLE_TIMEOUT)
                     .httpRequestDecoder(
                             decoder -> decoder.maxHeaderSize(MAX_HEADER_BYTES).maxInitialLineLength(MAX_HEADER_BYTES))
                     .handle(this::handle)
@@ -127,80 +127,81 @@
 
     @Override
     public void stop() {
-        server.disposeNow(STOP_LIMIT);
+        server.disposeNow(STOP_TIMEOUT);
     }
 
     /**
-     * The TCP port that it listens on.
+     * Returns the TCP port of the listening socket. Must not be called before {@link #start(Kernel)} has succeeded.
      *
-     * @return the port
+     * @return the actual port, also if a free one was requested
      */
     public int port() {
         return server.port();
     }
 
     /**
-     * Goes on with a shutdown.
+     * Enters the next phase of a shutdown. On {@link Phase#DRAINING}, queued requests are rejected as well.
      *
-     * @param next how far it has come
+     * @param next the phase to enter
      */
-    public void phase(Phase next) {
+    public void enterPhase(Phase next) {
         phase = next;
-        if (next == Phase.CLOSING) {
-            forwarder.close();
+        if (next == Phase.DRAINING) {
+            forwarder.rejectQueued();
         }
     }
 
     /**
-     * What is in flight.
+     * Returns the counter of requests in flight.
      *
-     * @return the count of requests
+     * @return the counter, which keeps changing
      */
-    public InFlight inFlight() {
+    public InFlightCounter inFlight() {
         return inFlight;
     }
 
     private Publisher<Void> handle(HttpServerRequest request, HttpServerResponse response) {
-        long arrivalNanos = loop.nowNanos() - waitedNanos();
+        long arrivalNanos = loop.nowNanos() - readDelayNanos();
         RequestLog log = new RequestLog(dialect.requestId(request.requestHeaders()), arrivalNanos);
         return Mono.defer(() -> {
-                    inFlight.enter();
-                    return body(request)
-                            .flatMap(body -> turns.next().thenReturn(body))
+                    inFlight.increment();
+                    return readBody(request)
+                            .flatMap(body -> pacer.admit().thenReturn(body))
                             .flatMap(body -> serve(request, response, body, arrivalNanos, log));
                 })
-                .takeUntilOther(gone(request))
-                .onErrorResume(BoundedBodyCollector.TooLargeException.class, error -> own(response, TOO_LARGE, log))
-                .doOnError(error -> log.broken(error))
-                .doOnCancel(log::clientGone)
+                .takeUntilOther(disconnection(request))
+                .onErrorResume(
+                        BoundedBodyCollector.TooLargeException.class, error -> sendLocal(response, TOO_LARGE, log))
+                .doOnError(error -> log.recordFailure(error))
+                .doOnCancel(log::recordClientDisconnect)
                 .doFinally(signal -> {
-                    inFlight.leave();
-                    log.end(loop.nowNanos());
+                    inFlight.decrement();
+                    log.write(loop.nowNanos());
                 });
     }
 
     /**
-     * How long a request that is read now has probably waited to be read: as long as the thread is behind. Counted from when
-     * it is read, its time would outlast its client's; workers would be given requests that nobody waits for any more, and
-     * final answers would come late by as much.
+     * Estimates how long a request that is read now has waited to be read, by the current lateness of the event loop. If
+     * deadlines were counted from the time of reading, they would be later than the clients' own: workers would receive
+     * requests whose clients have given up, and final replies would be late.
      */
-    private long waitedNanos() {
-        return TimeUnit.MILLISECONDS.toNanos(Math.min(MOST_WAITED_MILLIS, loop.lateMillis()));
+    private long readDelayNanos() {
+        return TimeUnit.MILLISECONDS.toNanos(Math.min(MAX_READ_DELAY_MILLIS, loop.lateMillis()));
     }
 
-    /** Completes when the client's connection closes; a kept one doesn't go on listening for requests that have ended. */
-    private static Mono<Void> gone(HttpServerRequest request) {
+    /** Completes when the client's connection closes. Its listener is removed at the end of the request. */
+    private static Mono<Void> disconnection(HttpServerRequest request) {
         return Mono.create(sink -> request.withConnection(connection -> {
-            ChannelFuture closing = connection.channel().closeFuture();
-            ChannelFutureListener listener = closed -> sink.success();
-            closing.addListener(listener);
-            sink.onDispose(() -> closing.removeListener(listener));
+            ChannelFuture closeFuture = connection.channel().closeFuture();
+            ChannelFutureListener listener = future -> sink.success();
+            closeFuture.addListener(listener);
+            sink.onDispose(() -> closeFuture.removeListener(listener));
         }));
     }
 
-    private Mono<byte[]> body(HttpServerRequest request) {
-        int most = state.table().map(table -> table.limits().maxBodyBytes()).orElse(MAX_HEADER_BYTES);
-        return new BoundedBodyCollector(most).collect(request.receive());
+    private Mono<byte[]> readBody(HttpServerRequest request) {
+        int maxBytes = state.table().map(table -> table.limits().maxBodyBytes()).orElse(MAX_HEADER_BYTES);
+        return new BoundedBodyCollector(maxBytes).collect(request.receive());
     }
 
     private Mono<Void> serve(
@@ -208,55 +209,55 @@
         if (phase != Phase.SERVING) {
             response.header(HttpHeaderNames.CONNECTION, "close");
         }
-        if (phase == Phase.CLOSING) {
-            return own(response, OwnAnswer.notRun("shutting down", 1), log);
+        if (phase == Phase.DRAINING) {
+            return sendLocal(response, LocalReply.notExecuted("shutting down", 1), log);
         }
         HttpHeaders headers = request.requestHeaders();
-        Admission.Verdict verdict = admission.check(state.table(), headers, request.uri(), arrivalNanos);
-        if (verdict instanceof Admission.Verdict.Refused refused) {
-            return own(response, refused.answer(), log);
+        Admission.Decision decision = admission.decide(state.table(), headers, request.uri(), arrivalNanos);
+        if (decision instanceof Admission.Decision.Rejected rejected) {
+            return sendLocal(response, rejected.reply(), log);
         }
-        Call.Terms terms = ((Admission.Verdict.Admitted) verdict).terms();
-        HttpHeaders passed = admission.passedOn(headers);
+        Call.Attributes attributes = ((Admission.Decision.Admitted) decision).attributes();
+        HttpHeaders forwardedHeaders = admission.forwardedRequestHeaders(headers);
         if (body.length > 0 || headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
-            passed.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+            forwardedHeaders.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
-        Call call = new Call(terms, request.method(), request.uri(), passed, body);
-        log.call(call);
-        return forwarder.forward(call).flatMap(reply -> answer(response, reply, log));
+        Call call = new Call(attributes, request.method(), request.uri(), forwardedHeaders, body);
+        log.setCall(call);
+        return forwarder.forward(call).flatMap(reply -> send(response, reply, log));
     }
 
-    private Mono<Void> answer(HttpServerResponse response, Reply reply, RequestLog log) {
-        if (reply instanceof Reply.Own own) {
-            return own(response, own.answer(), log);
+    private Mono<Void> send(HttpServerResponse response, Reply reply, RequestLog log) {
+        if (reply instanceof Reply.Local local) {
+            return sendLocal(response, local.reply(), log);
         }
-        if (reply instanceof Reply.Whole whole) {
-            log.status(whole.status(), "");
-            response.status(whole.status());
-            response.responseHeaders().add(Admission.answerHeaders(whole.headers()));
-            response.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(whole.body().length));
-            return response.sendObject(Unpooled.wrappedBuffer(whole.body())).then();
+        if (reply instanceof Reply.Buffered buffered) {
+            log.setStatus(buffered.status(), "");
+            response.status(buffered.status());
+            response.responseHeaders().add(Admission.forwardedResponseHeaders(buffered.headers()));
+            response.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(buffered.body().length));
+            return response.sendObject(Unpooled.wrappedBuffer(buffered.body())).then();
         }
-        Reply.Stream stream = (Reply.Stream) reply;
-        log.status(stream.status(), "");
-        response.status(stream.status());
-        response.responseHeaders().add(Admission.answerHeaders(stream.headers()));
+        Reply.Streamed streamed = (Reply.Streamed) reply;
+        log.setStatus(streamed.status(), "");
+        response.status(streamed.status());
+        response.responseHeaders().add(Admission.forwardedResponseHeaders(streamed.headers()));
         response.chunkedTransfer(true);
         return response.send(
-                        ByteBufFlux.fromInbound(Flux.from(stream.events()).map(Unpooled::wrappedBuffer)),
+                        ByteBufFlux.fromInbound(Flux.from(streamed.events()).map(Unpooled::wrappedBuffer)),
                         buffer -> true)
                 .then()
                 .doOnError(error -> {
-                    log.broken(error);
+                    log.recordFailure(error);
                     response.withConnection(connection -> connection.channel().close());
                 });
     }
 
-    private static Mono<Void> own(HttpServerResponse response, OwnAnswer answer, RequestLog log) {
-        log.status(answer.status(), answer.reason());
-        response.status(answer.status());
-        if (answer.retryAfterMillis() > 0) {
-            response.header(HttpHeaderNames.RETRY_AFTER, RetryAfter.seconds(answer.retryAfterMillis()));
+    private static Mono<Void> sendLocal(HttpServerResponse response, LocalReply reply, RequestLog log) {
+        log.setStatus(reply.status(), reply.reason());
+        response.status(reply.status());
+        if (reply.retryAfterMillis() > 0) {
+            response.header(HttpHeaderNames.RETRY_AFTER, RetryAfter.seconds(reply.retryAfterMillis()));
         }
         response.header(HttpHeaderNames.CONTENT_LENGTH, "0");
         return response.send().then();
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/InFlight.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/InFlightCounter.java
@@ -2,22 +2,22 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Counts the requests that have no final answer yet. */
-public final class InFlight {
+/** Counts the requests that have no final response yet. Thread-safe. */
+public final class InFlightCounter {
     private final AtomicInteger count = new AtomicInteger();
 
-    void enter() {
+    void increment() {
         count.incrementAndGet();
     }
 
-    void leave() {
+    void decrement() {
         count.decrementAndGet();
     }
 
     /**
-     * How many there are.
+     * Returns the number of requests in flight.
      *
-     * @return the number
+     * @return the current count
      */
     public int count() {
         return count.get();
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RequestLog.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RequestLog.java
@@ -4,7 +4,7 @@
 import org.jboss.logging.Logger;
 import org.jboss.logging.MDC;
 
-/** Writes one line for each request when it has ended: what decided it, and how it ended. */
+/** Writes one log line per request at its end, with the outcome and the figures that explain it. */
 final class RequestLog {
     private static final Logger LOG = Logger.getLogger("org.dotterelcourse.requests");
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -20,24 +20,24 @@
         this.arrivalNanos = arrivalNanos;
     }
 
-    void call(Call admitted) {
+    void setCall(Call admitted) {
         call = admitted;
     }
 
-    void status(int value, String why) {
-        status = value;
-        reason = why;
+    void setStatus(int newStatus, String newReason) {
+        status = newStatus;
+        reason = newReason;
     }
 
-    void broken(Throwable error) {
+    void recordFailure(Throwable error) {
         reason = "broken: " + error.getMessage();
     }
 
-    void clientGone() {
+    void recordClientDisconnect() {
         reason = "client gone";
     }
 
-    void end(long nowNanos) {
+    void write(long nowNanos) {
         MDC.put("request", id);
         MDC.put("millis", Long.toString((nowNanos - arrivalNanos) / NANOS_PER_MILLI));
         MDC.put("status", Integer.toString(status));
@@ -45,16 +45,18 @@
             MDC.put("reason", reason);
         }
         if (call != null) {
-            MDC.put("route", call.terms().route().name());
-            MDC.put("customer", call.terms().customer());
-            MDC.put("worker", call.lastWorker());
-            MDC.put("sends", Integer.toString(call.sends()));
-            MDC.put("waitedMillis", Long.toString(call.waitedMillis()));
-            MDC.put("urgency", Integer.toString(call.terms().priority()));
-            if (call.terms().route().streaming()) {
+            MDC.put("route", call.attributes().route().name());
+            MDC.put("customer", call.attributes().customer());
+            MDC.put("worker", call.lastWorkerId());
+            MDC.put("sends", Integer.toString(call.sendCount()));
+            MDC.put("waitedMillis", Long.toString(call.firstSendMillis()));
+            MDC.put("urgency", Integer.toString(call.attributes().priority()));
+            if (call.attributes().route().streaming()) {
                 MDC.put("firstEventMillis", Long.toString(call.firstEventMillis()));
-                MDC.put("longestPauseMillis", Long.toString(call.longestPauseMillis()));
-                call.terms().prompt().ifPresent(prompt -> MDC.put("prompt", Integer.toString(prompt.promptTokens())));
+                MDC.put("longestPauseMillis", Long.toString(call.longestEventGapMillis()));
+                call.attributes()
+                        .prompt()
+                        .ifPresent(prompt -> MDC.put("prompt", Integer.toString(prompt.promptTokens())));
             }
         }
         LOG.info("request ended");
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RetryAfter.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RetryAfter.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The value of Retry-After; clients of this router take fractions of a second, which RFC 9110 does not have. */
+/** Formats the Retry-After header. The router's clients accept fractions of a second, which RFC 9110 does not allow. */
 final class RetryAfter {
     private static final double MILLIS_PER_SECOND = 1_000;
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
@@ -13,35 +13,35 @@
 import org.dotterelcourse.gateway.GatewayLoop;
 
 /**
- * Ends the process without cutting off a request: first nobody is sent here any more, then nothing is taken on, and
- * what is in flight ends by itself.
+ * Graceful shutdown. First the process leaves the membership, so that clients are no longer directed to it, while it
+ * still accepts requests. Then it rejects new requests and waits until those in flight have completed.
  */
 public final class Shutdown implements Service {
-    /** The name that it is found by. */
+    /** The name under which the kernel registers the service. */
     public static final ServiceName<Shutdown> NAME = new ServiceName<>("shutdown", Shutdown.class);
 
-    /** Clients keep an address answer for up to three times its time to live of one second. */
+    /** Clients use a resolved address for up to three times its time to live of one second. */
     private static final long LEAVING_MILLIS = 2_900;
 
-    /** Left for the last bytes on their way, before the process is killed. */
-    private static final long MARGIN_MILLIS = 500;
+    /** Time before the process is killed that is reserved for sending the last bytes. */
+    private static final long KILL_MARGIN_MILLIS = 500;
 
-    private static final long LOOK_MILLIS = 50;
+    private static final long POLL_INTERVAL_MILLIS = 50;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final long graceMillis;
-    private final CountDownLatch done = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
     private GatewayLoop loop;
-    private ClientHttpServer edge;
+    private ClientHttpServer server;
     private Peers peers;
     private AuditTrail audit;
-    private volatile boolean begun;
-    private long beganNanos;
+    private volatile boolean hasBegun;
+    private long startNanos;
 
     /**
-     * Makes a shutdown that has not begun.
+     * Creates a shutdown that has not begun.
      *
-     * @param graceMillis how long after the signal the process is killed
+     * @param graceMillis the time in milliseconds after the signal at which the process is killed
      */
     public Shutdown(long graceMillis) {
         this.graceMillis = graceMillis;
@@ -60,7 +60,7 @@
     @Override
     public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
-        edge = kernel.find(ClientHttpServer.NAME);
+        server = kernel.find(ClientHttpServer.NAME);
         peers = kernel.find(Peers.NAME);
         audit = kernel.find(AuditTrail.NAME);
         return List.of();
@@ -68,55 +68,56 @@
 
     @Override
     public void stop() {
-        done.countDown();
+        finished.countDown();
     }
 
-    /** Begins; does nothing if it has begun. */
+    /** Begins the shutdown. Does nothing if it has begun already. May be called from any thread. */
     public void begin() {
         loop.execute(() -> {
-            if (begun) {
+            if (hasBegun) {
                 return;
             }
-            begun = true;
-            beganNanos = loop.nowNanos();
+            hasBegun = true;
+            startNanos = loop.nowNanos();
             audit.add(AuditEvent.Kind.PROCESS, peers.self(), "SIGTERM", "serving", "leaving");
-            edge.phase(ClientHttpServer.Phase.LEAVING);
+            server.enterPhase(ClientHttpServer.Phase.LEAVING);
             peers.leave();
-            loop.after(LEAVING_MILLIS, () -> edge.phase(ClientHttpServer.Phase.CLOSING));
-            loop.after(LEAVING_MILLIS + LOOK_MILLIS, this::look);
+            loop.after(LEAVING_MILLIS, () -> server.enterPhase(ClientHttpServer.Phase.DRAINING));
+            loop.after(LEAVING_MILLIS + POLL_INTERVAL_MILLIS, this::poll);
         });
     }
 
     /**
-     * Whether a shutdown has begun.
+     * Returns whether the shutdown has begun.
      *
-     * @return true from the signal on
+     * @return true once the event loop has handled {@link #begin()}
      */
     public boolean hasBegun() {
-        return begun;
+        return hasBegun;
     }
 
     /**
-     * Waits until the process may end.
+     * Blocks until the process may exit: no request is in flight, the grace period is nearly over, or the service is
+     * stopped.
      *
-     * @throws InterruptedException if the thread is interrupted
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
     public void await() throws InterruptedException {
-        done.await();
+        finished.await();
     }
 
-    private void look() {
-        long passedMillis = (loop.nowNanos() - beganNanos) / NANOS_PER_MILLI;
-        if (edge.inFlight().count() == 0 || passedMillis >= graceMillis - MARGIN_MILLIS) {
+    private void poll() {
+        long elapsedMillis = (loop.nowNanos() - startNanos) / NANOS_PER_MILLI;
+        if (server.inFlight().count() == 0 || elapsedMillis >= graceMillis - KILL_MARGIN_MILLIS) {
             audit.add(
                     AuditEvent.Kind.PROCESS,
                     peers.self(),
-                    edge.inFlight().count() + " requests in flight",
+                    server.inFlight().count() + " requests in flight",
                     "leaving",
                     "ended");
-            done.countDown();
+            finished.countDown();
             return;
         }
-        loop.after(LOOK_MILLIS, this::look);
+        loop.after(POLL_INTERVAL_MILLIS, this::poll);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/package-info.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP side towards clients. */
+/** The HTTP server for clients: admission, replies, request log and graceful shutdown. */
 package org.dotterelcourse.gateway.edge;
--- /dev/null
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AttemptFailureHandler.java
@@ -0,0 +1,97 @@
+package org.dotterelcourse.gateway.forward;
+
+import org.dotterelcourse.gateway.GatewayLoop;
+import org.dotterelcourse.gateway.GatewayState;
+import org.dotterelcourse.gateway.workers.WorkerEntry;
+import org.dotterelcourse.policy.quarantine.CrashNotice;
+import org.dotterelcourse.policy.quarantine.CrashNotice.Ending;
+import org.dotterelcourse.policy.quarantine.RequestQuarantine;
+import org.dotterelcourse.policy.quarantine.Verdict;
+import org.jboss.logging.Logger;
+import org.jboss.logging.MDC;
+import reactor.core.publisher.Mono;
+
+/**
+ * Handles attempts that failed after the request was sent: probes whether the worker crashed, reports crashes to the
+ * {@link RequestQuarantine}, and logs each failed attempt. The log line has the request's fingerprint, by which retries
+ * of the same content can be correlated, and the state of the worker.
+ */
+final class AttemptFailureHandler {
+    private static final Logger LOG = Logger.getLogger("org.dotterelcourse.attempts");
+
+    private final GatewayLoop loop;
+    private final GatewayState state;
+    private final RequestQuarantine quarantine;
+    private final WorkerProbe probe;
+
+    AttemptFailureHandler(GatewayLoop loop, GatewayState state) {
+        this.loop = loop;
+        this.state = state;
+        this.quarantine = state.quarantine();
+        this.probe = new WorkerProbe(loop);
+    }
+
+    /**
+     * Probes the worker of a failed attempt, then logs and records the result.
+     *
+     * @param call the request
+     * @param worker the worker at which the attempt failed
+     * @param reason what went wrong, for the log
+     * @return completes after the result is recorded; the probe runs even if there is no subscriber
+     */
+    Mono<Void> handleFailure(Call call, WorkerEntry worker, String reason) {
+        FailedAttempt attempt = new FailedAttempt(
+                call, worker, reason, call.millisSinceSend(loop.nowNanos()), call.attemptEventCount());
+        Mono<Void> handled = probe.probe(worker)
+                .doOnNext(result -> handleProbeResult(attempt, result))
+                .then()
+                .cache();
+        handled.subscribe();
+        return handled;
+    }
+
+    /** Returns whether the request may be sent to a worker. */
+    Verdict verdict(Call call) {
+        return quarantine.isEmpty() ? new Verdict.Allowed() : quarantine.verdict(call.fingerprint(), loop.nowNanos());
+    }
+
+    /** Records that a worker has finished the request without crashing. */
+    void recordFinished(Call call) {
+        if (!quarantine.isEmpty()) {
+            state.learn(new CrashNotice(call.fingerprint(), Ending.FINISHED, 0, 0, 0), loop.nowNanos());
+        }
+    }
+
+    /** Reports a crash, except for a leaving worker, which stops as announced even with requests in flight. */
+    private void handleProbeResult(FailedAttempt attempt, WorkerProbe.Result result) {
+        log(attempt, result);
+        if (result == WorkerProbe.Result.CRASHED && !attempt.worker().leaving()) {
+            Ending ending = attempt.eventCount() == 0 ? Ending.CRASHED_BEFORE_OUTPUT : Ending.CRASHED_DURING_OUTPUT;
+            CrashNotice notice = new CrashNotice(
+                    attempt.call().fingerprint(),
+                    ending,
+                    attempt.worker().incarnation(),
+                    Math.round(attempt.elapsedMillis()),
+                    0);
+            state.learn(notice, loop.nowNanos());
+        }
+    }
+
+    private static void log(FailedAttempt attempt, WorkerProbe.Result result) {
+        Call call = attempt.call();
+        MDC.put("request", call.attributes().id());
+        MDC.put("fingerprint", call.fingerprint().toString());
+        MDC.put("customer", call.attributes().customer());
+        MDC.put("route", call.attributes().route().name());
+        MDC.put("worker", attempt.worker().id());
+        MDC.put("workerState", result.name());
+        MDC.put("attemptMillis", Long.toString(Math.round(attempt.elapsedMillis())));
+        MDC.put("attemptEvents", Integer.toString(attempt.eventCount()));
+        MDC.put("reason", attempt.reason());
+        LOG.info("attempt broke");
+        MDC.clear();
+    }
+
+    /** A failed attempt, with its duration and the number of events that were passed on at the time of the failure. */
+    private record FailedAttempt(Call call, WorkerEntry worker, String reason, double elapsedMillis, int eventCount) {}
+}
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AttemptResult.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AttemptResult.java
@@ -1,26 +1,26 @@
 package org.dotterelcourse.gateway.forward;
 
-/** How sending a request to one worker ended, if not with a stream that is under way. */
+/** Result of sending a request to one worker, unless the worker's response is passed on as a stream. */
 sealed interface AttemptResult {
     /**
-     * The worker's whole answer.
+     * The worker sent a complete response.
      *
-     * @param answer the answer, whatever its status
+     * @param response the response, with any status
      */
-    record Answered(WholeAnswer answer) implements AttemptResult {}
+    record Responded(BufferedResponse response) implements AttemptResult {}
 
     /**
-     * The worker has not run the request and will not.
+     * The worker has not executed the request and will not.
      *
-     * @param reason how that is known
-     * @param reached whether anything of the request was sent to it
+     * @param reason how this is known, for the request log
+     * @param wasReached whether any part of the request was sent to the worker
      */
-    record NotRun(String reason, boolean reached) implements AttemptResult {}
+    record NotExecuted(String reason, boolean wasReached) implements AttemptResult {}
 
     /**
-     * Nobody can tell whether the request ran.
+     * It cannot be determined whether the worker executed the request.
      *
-     * @param reason what happened
+     * @param reason what went wrong, for the request log
      */
     record Unknown(String reason) implements AttemptResult {}
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Call.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Call.java
@@ -11,45 +11,45 @@
 import org.dotterelcourse.policy.quarantine.Fingerprint;
 import org.dotterelcourse.policy.selection.Prompt;
 
-/** One request that was let in, with what has been tried for it. */
+/** An admitted request with the state of its attempts. Not thread-safe. */
 public final class Call {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final Terms terms;
+    private final Attributes attributes;
     private final HttpMethod method;
     private final String uri;
     private final HttpHeaders headers;
     private final byte[] body;
-    private final Set<String> tried = new HashSet<>();
-    private int sends;
-    private int connectFailures;
-    private boolean mayHaveRun;
+    private final Set<String> triedWorkers = new HashSet<>();
+    private int sendCount;
+    private int connectFailureCount;
+    private boolean isPossiblyExecuted;
     private String lastEventId = "";
     private long lastEventNanos;
     private long firstEventMillis;
-    private long longestPauseMillis;
-    private double lastPauseMillis;
-    private int events;
-    private int attemptEvents;
+    private long longestEventGapMillis;
+    private double lastEventGapMillis;
+    private int eventCount;
+    private int attemptEventCount;
     private Fingerprint fingerprint;
-    private boolean suspect;
+    private boolean isSuspect;
     private long sentNanos;
-    private long waitedMillis;
-    private String lastWorker = "";
+    private long firstSendMillis;
+    private String lastWorkerId = "";
 
     /**
-     * What the request was let in as.
+     * Properties of a request that are determined at its admission.
      *
-     * @param id its id
-     * @param route its route
-     * @param upstream the upstream that serves it
-     * @param customer whose it is, empty if nobody's
-     * @param priority urgency, 0 the highest
-     * @param prompt what it asks of an engine
-     * @param arrivalNanos when it came
-     * @param deadlineNanos when it must have its final answer
+     * @param id the id of the request
+     * @param route the route that matches the request
+     * @param upstream the upstream that serves the request
+     * @param customer the name of the customer that sent the request, or empty if it is anonymous
+     * @param priority the priority of the request, 0 being the highest
+     * @param prompt the prompt, or empty if the upstream has no engines or the request does not describe its prompt
+     * @param arrivalNanos the monotonic time of the request's arrival in nanoseconds
+     * @param deadlineNanos the monotonic time in nanoseconds by which the request must have its final response
      */
-    public record Terms(
+    public record Attributes(
             String id,
             Route route,
             UpstreamSpec upstream,
@@ -60,16 +60,16 @@
             long deadlineNanos) {}
 
     /**
-     * Makes a call of which nothing was tried yet.
+     * Creates a call without any attempts.
      *
-     * @param terms what it was let in as
-     * @param method its method
-     * @param uri path and query as the client sent them
-     * @param headers those of the client's headers that are passed on
-     * @param body its whole body
+     * @param attributes the properties determined at admission
+     * @param method the HTTP method
+     * @param uri the path and query as sent by the client
+     * @param headers the client's headers that are to be forwarded
+     * @param body the complete request body
      */
-    public Call(Terms terms, HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
-        this.terms = terms;
+    public Call(Attributes attributes, HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
+        this.attributes = attributes;
         this.method = method;
         this.uri = uri;
         this.headers = headers;
@@ -77,12 +77,12 @@
     }
 
     /**
-     * What it was let in as.
+     * Returns the properties determined at admission.
      *
-     * @return the terms
+     * @return the attributes, which do not change
      */
-    public Terms terms() {
-        return terms;
+    public Attributes attributes() {
+        return attributes;
     }
 
     HttpMethod method() {
@@ -101,147 +101,150 @@
         return body;
     }
 
-    long leftMillis(long nowNanos) {
-        return (terms.deadlineNanos() - nowNanos) / NANOS_PER_MILLI;
+    long remainingMillis(long nowNanos) {
+        return (attributes.deadlineNanos() - nowNanos) / NANOS_PER_MILLI;
     }
 
-    Set<String> tried() {
-        return tried;
+    Set<String> triedWorkers() {
+        return triedWorkers;
     }
 
-    /** A worker is about to get the request. */
-    void sending(String worker, long nowNanos) {
+    /** Records that the request is about to be sent to a worker. */
+    void recordSend(String workerId, long nowNanos) {
         if (sentNanos == 0) {
-            waitedMillis = (nowNanos - terms.arrivalNanos()) / NANOS_PER_MILLI;
+            firstSendMillis = (nowNanos - attributes.arrivalNanos()) / NANOS_PER_MILLI;
         }
         sentNanos = nowNanos;
-        attemptEvents = 0;
-        tried.add(worker);
-        lastWorker = worker;
-        sends++;
+        attemptEventCount = 0;
+        triedWorkers.add(workerId);
+        lastWorkerId = workerId;
+        sendCount++;
     }
 
-    /** The worker could not be reached: it got nothing, so that the send doesn't count. */
-    void notReached() {
-        sends--;
-        connectFailures++;
+    /** Records that the worker was not reached. It received nothing, so the send does not count. */
+    void recordConnectFailure() {
+        sendCount--;
+        connectFailureCount++;
     }
 
     /**
-     * How many workers were sent the request.
+     * Returns the number of workers that the request was sent to.
      *
-     * @return those that could not be reached left out
+     * @return the number of sends, without workers that could not be reached
      */
-    public int sends() {
-        return sends;
+    public int sendCount() {
+        return sendCount;
     }
 
-    /** From now on nobody can say that the request was not run. */
-    void mayHaveRun() {
-        mayHaveRun = true;
+    /** Records that a worker may have executed the request. */
+    void markPossiblyExecuted() {
+        isPossiblyExecuted = true;
     }
 
-    /** Whether some worker may have run it, so that its client must not be told otherwise. */
-    boolean hasMaybeRun() {
-        return mayHaveRun;
+    /** Returns whether a worker may have executed the request. If so, no reply may state the opposite. */
+    boolean isPossiblyExecuted() {
+        return isPossiblyExecuted;
     }
 
-    int connectFailures() {
-        return connectFailures;
+    int connectFailureCount() {
+        return connectFailureCount;
     }
 
     String lastEventId() {
         return lastEventId;
     }
 
-    /** An event is passed on. */
-    void event(String id, long nowNanos) {
+    /** Records that an event is passed on to the client. */
+    void recordEvent(String id, long nowNanos) {
         lastEventId = id;
-        events++;
-        attemptEvents++;
-        lastPauseMillis = lastEventNanos == 0 ? 0 : (nowNanos - lastEventNanos) / (double) NANOS_PER_MILLI;
+        eventCount++;
+        attemptEventCount++;
+        lastEventGapMillis = lastEventNanos == 0 ? 0 : (nowNanos - lastEventNanos) / (double) NANOS_PER_MILLI;
         if (lastEventNanos == 0) {
-            firstEventMillis = (nowNanos - terms.arrivalNanos()) / NANOS_PER_MILLI;
+            firstEventMillis = (nowNanos - attributes.arrivalNanos()) / NANOS_PER_MILLI;
         } else {
-            longestPauseMillis = Math.max(longestPauseMillis, (nowNanos - lastEventNanos) / NANOS_PER_MILLI);
+            longestEventGapMillis = Math.max(longestEventGapMillis, (nowNanos - lastEventNanos) / NANOS_PER_MILLI);
         }
         lastEventNanos = nowNanos;
     }
 
-    /** Time since it was last sent to a worker. */
-    double sinceSentMillis(long nowNanos) {
+    /** Returns the time in milliseconds since the request was last sent to a worker. */
+    double millisSinceSend(long nowNanos) {
         return (nowNanos - sentNanos) / (double) NANOS_PER_MILLI;
     }
 
-    /** How many events were passed on. */
-    int events() {
-        return events;
+    /** Returns the number of events passed on to the client. */
+    int eventCount() {
+        return eventCount;
     }
 
-    /** How many of them came from the worker that has it now. */
-    int attemptEvents() {
-        return attemptEvents;
+    /** Returns the number of events passed on from the current worker. */
+    int attemptEventCount() {
+        return attemptEventCount;
     }
 
     /**
-     * What it has in common with its repeats.
+     * Returns the fingerprint, which is the same for all retries of a request.
      *
-     * @return the fingerprint, computed when it is first asked for
+     * @return the fingerprint, computed at the first call
      */
     Fingerprint fingerprint() {
         if (fingerprint == null) {
-            fingerprint = Fingerprint.of(terms.customer(), method.name(), uri, body);
+            fingerprint = Fingerprint.of(attributes.customer(), method.name(), uri, body);
         }
         return fingerprint;
     }
 
-    /** A worker crashed under it or its like: it must not run beside another such request. */
-    void suspect(boolean value) {
-        suspect = value;
+    /**
+     * Sets whether a worker crashed while it ran this request or one with the same fingerprint. If so, the request
+     * should not run on the same worker as another suspect.
+     */
+    void setSuspect(boolean value) {
+        isSuspect = value;
     }
 
-    boolean suspect() {
-        return suspect;
+    boolean isSuspect() {
+        return isSuspect;
     }
 
-    /** Time between the last two events, in milliseconds; 0 before the second one. */
-    double lastPauseMillis() {
-        return lastPauseMillis;
+    /** Returns the time in milliseconds between the last two events; 0 before the second event. */
+    double lastEventGapMillis() {
+        return lastEventGapMillis;
     }
 
     /**
-     * Time from the request's arrival until it was first sent to a worker.
+     * Returns the time from the request's arrival until it was first sent to a worker.
      *
-     * @return milliseconds, 0 if it was not sent
+     * @return the time in milliseconds; 0 if the request was not sent
      */
-    public long waitedMillis() {
-        return waitedMillis;
+    public long firstSendMillis() {
+        return firstSendMillis;
     }
 
     /**
-     * Time from the request's arrival to its first event.
+     * Returns the time from the request's arrival to its first event.
      *
-     * @return milliseconds, 0 if there was none
+     * @return the time in milliseconds; 0 if there was no event
      */
     public long firstEventMillis() {
         return firstEventMillis;
     }
 
     /**
-     * The longest time between two events.
+     * Returns the longest time between two consecutive events.
      *
-     * @return milliseconds, 0 before the second event
+     * @return the time in milliseconds; 0 before the second event
      */
-    public long longestPauseMillis() {
-        return longestPauseMillis;
+    public long longestEventGapMillis() {
+        return longestEventGapMillis;
     }
 
     /**
-     * The worker that had it last.
+     * Returns the worker that the request was last sent to.
      *
-     * @return its name, empty if none
+     * @return the id of the worker, or empty if the request was not sent
      */
-    public String lastWorker() {
-        return lastWorker;
+    public String lastWorkerId() {
+        return lastWorkerId;
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Dialect.java
@@ -8,99 +8,100 @@
 import org.dotterelcourse.policy.selection.LatencyClass;
 import org.dotterelcourse.policy.selection.Prompt;
 
-/** How clients and workers spell what the router needs to know and to tell. */
+/** Reads and writes the platform-specific HTTP headers of clients and workers. */
 public interface Dialect {
     /**
-     * Reads a request's id.
+     * Returns the id of the request.
      *
-     * @param headers of a request or an answer
-     * @return the id, empty if there is none
+     * @param headers the headers of a request or a response
+     * @return the id, or an empty string if there is none
      */
     String requestId(HttpHeaders headers);
 
     /**
-     * Reads how long a client waits.
+     * Returns how long the client waits for the response.
      *
-     * @param headers the request's
-     * @return milliseconds from now; empty if it doesn't say, or not in figures
+     * @param headers the headers of the client's request
+     * @return the time in milliseconds from now; empty if the header is missing or not a number
      */
     OptionalLong clientTimeoutMillis(HttpHeaders headers);
 
     /**
-     * Reads a client's key.
+     * Returns the API key of the client.
      *
-     * @param headers the request's
-     * @return the key, empty if there is none
+     * @param headers the headers of the client's request
+     * @return the key, or an empty string if there is none
      */
     String apiKey(HttpHeaders headers);
 
     /**
-     * Reads what a request asks of an engine.
+     * Returns the description of the prompt: its parts, its size and the maximum output.
      *
-     * @param headers the request's
-     * @param pace what the route's streams must not be held up by
-     * @return the prompt; empty if the request tells of none
+     * @param headers the headers of the client's request
+     * @param latencyClass the latency class of the request's route, which becomes part of the result
+     * @return the prompt; empty if the headers have no valid description
      */
-    Optional<Prompt> prompt(HttpHeaders headers, LatencyClass pace);
+    Optional<Prompt> prompt(HttpHeaders headers, LatencyClass latencyClass);
 
     /**
-     * Whether only the router may set a header, so that a client's own is dropped.
+     * Returns whether only the router may set a header. Such headers are removed from clients' requests.
      *
      * @param name the header's name in lower case
-     * @return true if it must not be passed on
+     * @return true if a client's header of this name must not be forwarded
      */
     boolean isReserved(String name);
 
     /**
-     * Adds to a request what the router has to tell the worker.
+     * Adds the router's headers to a request to a worker.
      *
-     * @param headers the request's, as they go to the worker
-     * @param told what to tell
+     * @param headers the headers of the request to the worker, which are changed
+     * @param info the values to add
      */
-    void addWorkerHeaders(HttpHeaders headers, WorkerRequestInfo told);
+    void addWorkerHeaders(HttpHeaders headers, WorkerRequestInfo info);
 
     /**
-     * What the router tells a worker.
+     * Values that the router sends to a worker with a request.
      *
-     * @param workerId the worker that the request is meant for
-     * @param customer whose request it is, empty if nobody's
-     * @param remainingMillis how long the client will still wait
-     * @param priority urgency, 0 the highest
+     * @param workerId the id of the worker that the request is for
+     * @param customer the name of the customer that sent the request, or empty if it is anonymous
+     * @param remainingMillis the time in milliseconds until the request's deadline
+     * @param priority the priority of the request, 0 being the highest
      * @param isEngine whether the worker is a model engine
-     * @param fetchFrom address of the engine from which to fetch parts of the prompt, empty if from none
+     * @param fetchFrom the address of the engine from which to fetch cached parts of the prompt, or empty if none
      */
     record WorkerRequestInfo(
             String workerId, String customer, long remainingMillis, int priority, boolean isEngine, String fetchFrom) {}
 
     /**
-     * Whether an answer bears a worker's own mark, without which it is no worker's answer.
+     * Returns whether a response has the stamp that workers add to theirs. A response without it was not sent by a
+     * worker.
      *
-     * @param headers the answer's
-     * @return true if it does
+     * @param headers the response headers
+     * @return true if the stamp is present
      */
     boolean hasWorkerStamp(HttpHeaders headers);
 
     /**
-     * Whether a worker's answer says that it has not run the request and never will.
+     * Returns whether a worker's response states that the request was not executed and will not be.
      *
-     * @param status the answer's status
-     * @param headers the answer's
-     * @return true only if it says so
+     * @param status the HTTP status code of the response
+     * @param headers the response headers
+     * @return true only if the response states so explicitly
      */
     boolean isNotExecuted(int status, HttpHeaders headers);
 
     /**
-     * Reads how many requests a second a worker takes from all processes together.
+     * Returns the request rate that a worker accepts from all router processes together.
      *
-     * @param headers the answer's
-     * @return the rate, not negative; empty if the worker names none
+     * @param headers the response headers
+     * @return the limit in requests per second, not negative; empty if the worker sets none
      */
     OptionalDouble requestLimitPerSecond(HttpHeaders headers);
 
     /**
-     * The header that names the last event a client has.
+     * Returns the header by which a request resumes a stream after the last event received.
      *
-     * @return its name
+     * @return the name of the header, whose value is the event's id
      */
     String lastEventIdHeader();
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EventFramer.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EventFramer.java
@@ -6,9 +6,10 @@
 import java.util.List;
 
 /**
- * Cuts a stream of server-sent events into whole events, by the rules of the WHATWG's HTML standard, 9.2.6: an event
- * ends with an empty line; lines end with a line feed, alone or after a carriage return. A worker may stop in the
- * middle of an event; passed on, that piece would be joined with the beginning of the next run's first event.
+ * Splits a byte stream of server-sent events into complete events, by the rules of the WHATWG HTML standard, 9.2.6: an
+ * event ends with an empty line, and a line ends with a line feed that may follow a carriage return. A worker may stop in
+ * the middle of an event. If the incomplete event were passed on, the client would join it with the first event of the
+ * worker that resumes the stream.
  */
 final class EventFramer {
     private static final String ID_FIELD = "id:";
@@ -18,29 +19,29 @@
     private boolean hasLines;
 
     /**
-     * One event.
+     * A complete event.
      *
-     * @param bytes its bytes with the empty line at its end
-     * @param id its id, empty if it has none
+     * @param bytes the event's bytes, including the empty line at its end
+     * @param id the event's id, or empty if it has none
      */
     record Event(byte[] bytes, String id) {}
 
     /**
-     * Takes bytes as they come.
+     * Appends the next bytes of the stream.
      *
-     * @param bytes the next bytes of the stream
-     * @return the events that are whole now
+     * @param bytes the bytes, split at any position
+     * @return the events that these bytes complete
      */
-    List<Event> take(byte[] bytes) {
+    List<Event> append(byte[] bytes) {
         List<Event> events = new ArrayList<>();
-        for (byte each : bytes) {
-            pending.write(each);
-            if (each == '\n') {
+        for (byte next : bytes) {
+            pending.write(next);
+            if (next == '\n') {
                 if (lineLength == 0 && hasLines) {
-                    events.add(event());
+                    events.add(completeEvent());
                 }
                 lineLength = 0;
-            } else if (each != '\r') {
+            } else if (next != '\r') {
                 lineLength++;
                 hasLines = true;
             }
@@ -49,15 +50,15 @@
     }
 
     /**
-     * Whether the stream stands between two events.
+     * Returns whether the stream is between two events.
      *
-     * @return false in the middle of one
+     * @return false if an event has begun and is not complete
      */
-    boolean betweenEvents() {
+    boolean isAtEventBoundary() {
         return !hasLines;
     }
 
-    private Event event() {
+    private Event completeEvent() {
         byte[] bytes = pending.toByteArray();
         pending.reset();
         hasLines = false;
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -22,43 +22,46 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Sends a request to a worker, and to another one where that is allowed and pays, until there is a final answer. */
+/**
+ * Forwards requests to workers. Retries at another worker where a repeated execution is safe and the deadline, the
+ * route's limit of attempts and the upstream's retry budget allow it.
+ */
 public final class Forwarder implements Service {
-    /** The name that it is found by. */
+    /** The name under which the kernel registers the service. */
     public static final ServiceName<Forwarder> NAME = new ServiceName<>("forwarder", Forwarder.class);
 
-    /** Workers that can't be reached cost a connect timeout each; after some of them the client had better come back. */
-    private static final int MOST_CONNECT_FAILURES = 4;
+    /** Each unreachable worker costs a connect timeout; after this many, the client should rather retry later. */
+    private static final int MAX_CONNECT_FAILURES = 4;
 
-    /** About the work of a few plain calls: by then a slot has become free. */
+    /** About the duration of a few calls without a prompt, after which a slot has become free. */
     private static final long RETRY_AFTER_FULL_MILLIS = 250;
 
-    /** Below this no worker can answer in time, so that none is bothered. */
-    private static final long LEAST_LEFT_MILLIS = 15;
+    /** No worker can respond within a shorter time, so the request is not sent. */
+    private static final long MIN_REMAINING_MILLIS = 15;
 
-    /** A worker's own answer at the deadline is on its way by then. */
+    /** Time for a response that the worker sends at the deadline to arrive. */
     private static final long DEADLINE_GRACE_MILLIS = 60;
 
     private final String dataCentre;
     private final Dialect dialect;
-    private final AnswerCheck check;
+    private final ResponseValidator validator;
     private GatewayLoop loop;
     private GatewayState state;
     private WorkerClient client;
-    private Selection selection;
-    private EngineLines lines;
-    private BrokenAttempts broken;
+    private WorkerSelection selection;
+    private EngineQueues queues;
+    private AttemptFailureHandler failureHandler;
 
     /**
-     * Makes a forwarder.
+     * Creates a forwarder.
      *
-     * @param dataCentre where this process stands
-     * @param dialect how workers spell things
+     * @param dataCentre the name of the data centre of this process, whose workers are preferred
+     * @param dialect the platform-specific headers of workers
      */
     public Forwarder(String dataCentre, Dialect dialect) {
         this.dataCentre = dataCentre;
         this.dialect = dialect;
-        this.check = new AnswerCheck(dialect);
+        this.validator = new ResponseValidator(dialect);
     }
 
     @Override
@@ -76,250 +79,282 @@
         loop = kernel.find(GatewayLoop.NAME);
         state = kernel.find(GatewayState.NAME);
         client = new WorkerClient(loop);
-        broken = new BrokenAttempts(loop, state);
+        failureHandler = new AttemptFailureHandler(loop, state);
         RandomGenerator random = RandomGenerator.getDefault();
-        selection = new Selection(dataCentre, state, random);
-        lines = new EngineLines(loop, state, selection, random);
+        selection = new WorkerSelection(dataCentre, state, random);
+        queues = new EngineQueues(loop, state, selection, random);
         return List.of();
     }
 
     @Override
     public void stop() {
-        // Connections end with the loop.
+        // The connections are closed with the event loop.
     }
 
     /**
-     * Forwards a request. Cancelling it takes the request back from its worker.
+     * Forwards a request. Cancelling the subscription closes the connection to the worker, which stops the request.
      *
      * @param call the request
-     * @return the answer, exactly one
+     * @return the reply to the client, exactly one
      */
     public Mono<Reply> forward(Call call) {
         return Mono.defer(() -> {
-            state.budget(call.terms().upstream().name()).recordRequest(loop.nowNanos());
-            selection.arrived(call, loop.nowNanos());
+            state.budget(call.attributes().upstream().name()).recordRequest(loop.nowNanos());
+            selection.recordArrival(call, loop.nowNanos());
             return attempt(call, Optional.empty());
         });
     }
 
-    /** Nothing is taken on any more: calls that wait for an engine get their final answer. */
-    public void close() {
-        loop.execute(lines::close);
+    /** Rejects all queued calls, when the process no longer accepts requests. May be called from any thread. */
+    public void rejectQueued() {
+        loop.execute(queues::rejectAll);
     }
 
-    private Mono<Reply> attempt(Call call, Optional<WholeAnswer> earlier) {
-        long now = loop.nowNanos();
-        if (call.leftMillis(now) < LEAST_LEFT_MILLIS) {
-            return Mono.just(last(call, earlier, "no time left"));
+    private Mono<Reply> attempt(Call call, Optional<BufferedResponse> earlierResponse) {
+        long nowNanos = loop.nowNanos();
+        if (call.remainingMillis(nowNanos) < MIN_REMAINING_MILLIS) {
+            return Mono.just(finalReply(call, earlierResponse, "no time left"));
         }
-        Verdict verdict = broken.verdict(call);
-        if (verdict instanceof Verdict.Quarantined held) {
-            return Mono.just(quarantined(call, earlier, held));
+        Verdict verdict = failureHandler.verdict(call);
+        if (verdict instanceof Verdict.Quarantined quarantined) {
+            return Mono.just(quarantineReply(call, earlierResponse, quarantined));
         }
-        call.suspect(verdict instanceof Verdict.Suspect);
-        if (EngineLines.waits(call)) {
-            return lines.admit(call).flatMap(admitted -> admitted(call, admitted));
+        call.setSuspect(verdict instanceof Verdict.Suspect);
+        if (EngineQueues.isQueueable(call)) {
+            return queues.admit(call).flatMap(result -> afterQueue(call, result));
         }
-        return outcome(call, selection.place(call, now), earlier);
+        return sendToSelected(call, selection.place(call, nowNanos), earlierResponse);
     }
 
-    private Mono<Reply> admitted(Call call, EngineLines.Admitted admitted) {
-        if (admitted instanceof EngineLines.Admitted.Refused refused) {
-            return Mono.just(new Reply.Own(
-                    OwnAnswer.notRun("the engines are too full for an answer in time", refused.retryAfterMillis())));
+    private Mono<Reply> afterQueue(Call call, EngineQueues.AdmissionResult result) {
+        if (result instanceof EngineQueues.AdmissionResult.Rejected rejected) {
+            return Mono.just(new Reply.Local(LocalReply.notExecuted(
+                    "the engines are too full for an answer in time", rejected.retryAfterMillis())));
         }
-        return outcome(call, ((EngineLines.Admitted.Through) admitted).outcome(), Optional.empty());
+        return sendToSelected(call, ((EngineQueues.AdmissionResult.Dispatched) result).outcome(), Optional.empty());
     }
 
-    private Mono<Reply> outcome(Call call, Selection.Outcome outcome, Optional<WholeAnswer> earlier) {
-        if (!(outcome instanceof Selection.Outcome.Placed placed)) {
-            return Mono.just(last(call, earlier, "no worker is free"));
+    private Mono<Reply> sendToSelected(
+            Call call, WorkerSelection.Outcome outcome, Optional<BufferedResponse> earlierResponse) {
+        if (!(outcome instanceof WorkerSelection.Outcome.Placed placed)) {
+            return Mono.just(finalReply(call, earlierResponse, "no worker is free"));
         }
         Placement placement = placed.placement();
-        if (broken.verdict(call) instanceof Verdict.Quarantined held) {
+        if (failureHandler.verdict(call) instanceof Verdict.Quarantined quarantined) {
             placement.ended();
-            return Mono.just(quarantined(call, earlier, held));
+            return Mono.just(quarantineReply(call, earlierResponse, quarantined));
         }
-        long now = loop.nowNanos();
+        long nowNanos = loop.nowNanos();
         return send(call, placed)
-                .timeout(Duration.ofMillis(call.leftMillis(now) + DEADLINE_GRACE_MILLIS), loop.scheduler())
-                .onErrorResume(TimeoutException.class, error -> Mono.just(timedOut(call, placement)))
-                .onErrorResume(SendFailure.class, error -> failed(call, placement, error, earlier))
+                .timeout(Duration.ofMillis(call.remainingMillis(nowNanos) + DEADLINE_GRACE_MILLIS), loop.scheduler())
+                .onErrorResume(TimeoutException.class, error -> Mono.just(handleTimeout(call, placement)))
+                .onErrorResume(
+                        WorkerConnectionException.class,
+                        error -> handleConnectionFailure(call, placement, error, earlierResponse))
                 .doOnCancel(placement::ended);
     }
 
-    private Mono<Reply> send(Call call, Selection.Outcome.Placed placed) {
+    private Mono<Reply> send(Call call, WorkerSelection.Outcome.Placed placed) {
         Placement placement = placed.placement();
         return client.send(placement.entry(), call.method(), call.uri(), workerHeaders(call, placed), call.body())
-                .flatMap(open -> answered(call, placement, open))
+                .flatMap(response -> handleResponse(call, placement, response))
                 .doOnError(error -> placement.ended());
     }
 
-    private Mono<Reply> answered(Call call, Placement placement, OpenAnswer open) {
-        hearLimit(call, placement, open);
-        if (check.passable(call, open)) {
-            Flux<byte[]> events = relay(call, placement, open).takeUntilOther(deadline(call));
-            return Mono.just(new Reply.Stream(open.status(), open.headers(), events));
+    private Mono<Reply> handleResponse(Call call, Placement placement, StreamedResponse response) {
+        updateRequestLimit(call, placement, response);
+        if (validator.isStreamable(call, response)) {
+            Flux<byte[]> events = relay(call, placement, response).takeUntilOther(deadline(call));
+            return Mono.just(new Reply.Streamed(response.status(), response.headers(), events));
         }
-        return collect(open)
+        return collect(response)
                 .doFinally(signal -> placement.ended())
-                .doOnNext(answer -> closeUnlessOwn(call, open))
-                .flatMap(answer -> decide(call, placement, check.classify(call, answer), Optional.empty()));
+                .doOnNext(buffered -> closeUnlessFromWorker(call, response))
+                .flatMap(buffered ->
+                        handleResult(call, placement, validator.classify(call, buffered), Optional.empty()));
     }
 
-    /** A limit counts whatever the answer is; its end only where the worker has answered as it always does. */
-    private void hearLimit(Call call, Placement placement, OpenAnswer open) {
-        OptionalDouble named = dialect.requestLimitPerSecond(open.headers());
-        boolean whole = dialect.hasWorkerStamp(open.headers()) && open.status() / 100 == 2;
-        if (check.answers(call, open.headers()) && (named.isPresent() || whole)) {
-            state.limited(placement.entry(), named, loop.nowNanos());
+    /**
+     * Applies the rate limit that the worker states in its response. A stated limit is applied with any status, but its
+     * absence removes the limit only if the response is a stamped success.
+     */
+    private void updateRequestLimit(Call call, Placement placement, StreamedResponse response) {
+        OptionalDouble limit = dialect.requestLimitPerSecond(response.headers());
+        boolean isStampedSuccess = dialect.hasWorkerStamp(response.headers()) && response.status() / 100 == 2;
+        if (validator.matchesRequest(call, response.headers()) && (limit.isPresent() || isStampedSuccess)) {
+            state.limited(placement.entry(), limit, loop.nowNanos());
         }
     }
 
-    /** A stream that outlasts its route's timeout is cut, and the cut is visible: its client gets an error, not an end. */
+    /**
+     * Returns a Mono that fails at the call's deadline. A stream that is still in progress then ends with an error, so
+     * that the client does not take it for complete.
+     */
     private Mono<Void> deadline(Call call) {
-        Duration left = Duration.ofMillis(Math.max(0, call.leftMillis(loop.nowNanos())) + DEADLINE_GRACE_MILLIS);
-        return Mono.delay(left, loop.scheduler()).then(Mono.error(() -> new StreamTimeoutException()));
+        Duration remaining =
+                Duration.ofMillis(Math.max(0, call.remainingMillis(loop.nowNanos())) + DEADLINE_GRACE_MILLIS);
+        return Mono.delay(remaining, loop.scheduler()).then(Mono.error(() -> new StreamTimeoutException()));
     }
 
-    /** Behind an answer that belongs to another request, more of them may follow. */
-    private void closeUnlessOwn(Call call, OpenAnswer open) {
-        if (!check.own(call, open)) {
-            open.close().run();
+    /** Closes the connection after a response to another request, because more such responses may follow. */
+    private void closeUnlessFromWorker(Call call, StreamedResponse response) {
+        if (!validator.isFromWorker(call, response)) {
+            response.close().run();
         }
     }
 
-    private static Mono<WholeAnswer> collect(OpenAnswer open) {
-        return open.body()
+    private static Mono<BufferedResponse> collect(StreamedResponse response) {
+        return response.body()
                 .collect(ByteArrayOutputStream::new, ByteArrayOutputStream::writeBytes)
-                .map(bytes -> new WholeAnswer(open.status(), open.headers(), bytes.toByteArray()));
+                .map(bytes -> new BufferedResponse(response.status(), response.headers(), bytes.toByteArray()));
     }
 
-    private Mono<Reply> failed(Call call, Placement placement, SendFailure error, Optional<WholeAnswer> earlier) {
-        if (!error.sent()) {
-            call.notReached();
-            return decide(
-                    call, placement, new AttemptResult.NotRun("not reached: " + error.getMessage(), false), earlier);
+    private Mono<Reply> handleConnectionFailure(
+            Call call,
+            Placement placement,
+            WorkerConnectionException error,
+            Optional<BufferedResponse> earlierResponse) {
+        if (!error.isSent()) {
+            call.recordConnectFailure();
+            return handleResult(
+                    call,
+                    placement,
+                    new AttemptResult.NotExecuted("not reached: " + error.getMessage(), false),
+                    earlierResponse);
         }
-        Mono<Void> followed = broken.broke(call, placement.entry(), error.getMessage());
-        Mono<Reply> decided =
-                Mono.defer(() -> decide(call, placement, new AttemptResult.Unknown(error.getMessage()), earlier));
-        return call.terms().route().repeatable() ? followed.then(decided) : decided;
+        Mono<Void> handled = failureHandler.handleFailure(call, placement.entry(), error.getMessage());
+        Mono<Reply> reply = Mono.defer(
+                () -> handleResult(call, placement, new AttemptResult.Unknown(error.getMessage()), earlierResponse));
+        return call.attributes().route().repeatable() ? handled.then(reply) : reply;
     }
 
-    private Mono<Reply> decide(Call call, Placement placement, AttemptResult result, Optional<WholeAnswer> earlier) {
-        long now = loop.nowNanos();
-        if (result instanceof AttemptResult.Answered answered) {
-            return answered(call, placement, answered.answer(), now);
+    private Mono<Reply> handleResult(
+            Call call, Placement placement, AttemptResult result, Optional<BufferedResponse> earlierResponse) {
+        long nowNanos = loop.nowNanos();
+        if (result instanceof AttemptResult.Responded responded) {
+            return replyOrRetry(call, placement, responded.response(), nowNanos);
         }
-        if (result instanceof AttemptResult.NotRun notRun) {
-            if (notRun.reached()) {
-                placement.refused(now);
+        if (result instanceof AttemptResult.NotExecuted notExecuted) {
+            if (notExecuted.wasReached()) {
+                placement.refused(nowNanos);
             } else {
-                placement.notReached(now);
+                placement.notReached(nowNanos);
             }
         } else {
-            placement.failed(now);
+            placement.failed(nowNanos);
         }
-        if (result instanceof AttemptResult.NotRun notRun) {
-            boolean again = notRun.reached() ? mayRepeat(call, now) : call.connectFailures() < MOST_CONNECT_FAILURES;
-            return again ? attempt(call, earlier) : Mono.just(last(call, earlier, notRun.reason()));
+        if (result instanceof AttemptResult.NotExecuted notExecuted) {
+            boolean shouldRetry = notExecuted.wasReached()
+                    ? tryAcquireRetry(call, nowNanos)
+                    : call.connectFailureCount() < MAX_CONNECT_FAILURES;
+            return shouldRetry
+                    ? attempt(call, earlierResponse)
+                    : Mono.just(finalReply(call, earlierResponse, notExecuted.reason()));
         }
-        call.mayHaveRun();
+        call.markPossiblyExecuted();
         AttemptResult.Unknown unknown = (AttemptResult.Unknown) result;
-        if (call.terms().route().repeatable() && mayRepeat(call, now)) {
-            return attempt(call, earlier);
+        if (call.attributes().route().repeatable() && tryAcquireRetry(call, nowNanos)) {
+            return attempt(call, earlierResponse);
         }
-        return Mono.just(last(call, earlier, unknown.reason()));
+        return Mono.just(finalReply(call, earlierResponse, unknown.reason()));
     }
 
-    /** A failure that an idempotent request may outlive is tried elsewhere; if that fails too, this answer stands. */
-    private Mono<Reply> answered(Call call, Placement placement, WholeAnswer answer, long now) {
-        if (!answer.failed()) {
-            placement.succeeded(now);
-            broken.finished(call);
-            return Mono.just(whole(answer));
+    /**
+     * Passes on a worker's complete response. After a server error, an idempotent request is retried first; the error
+     * response is passed on if there is no retry or the connection of the retry fails.
+     */
+    private Mono<Reply> replyOrRetry(Call call, Placement placement, BufferedResponse response, long nowNanos) {
+        if (!response.isServerError()) {
+            placement.succeeded(nowNanos);
+            failureHandler.recordFinished(call);
+            return Mono.just(toReply(response));
         }
-        placement.failedByAnswer(now);
-        call.mayHaveRun();
-        if (call.terms().route().repeatable() && mayRepeat(call, now)) {
-            return attempt(call, Optional.of(answer));
+        placement.failedByAnswer(nowNanos);
+        call.markPossiblyExecuted();
+        if (call.attributes().route().repeatable() && tryAcquireRetry(call, nowNanos)) {
+            return attempt(call, Optional.of(response));
         }
-        return Mono.just(whole(answer));
+        return Mono.just(toReply(response));
     }
 
-    private boolean mayRepeat(Call call, long now) {
-        return call.sends() < call.terms().route().maxAttempts()
-                && call.leftMillis(now) >= LEAST_LEFT_MILLIS
-                && state.budget(call.terms().upstream().name()).tryAcquire(now);
+    /** Returns whether the call may be sent again, and if so takes the retry from the upstream's budget. */
+    private boolean tryAcquireRetry(Call call, long nowNanos) {
+        return call.sendCount() < call.attributes().route().maxAttempts()
+                && call.remainingMillis(nowNanos) >= MIN_REMAINING_MILLIS
+                && state.budget(call.attributes().upstream().name()).tryAcquire(nowNanos);
     }
 
-    private Flux<byte[]> relay(Call call, Placement placement, OpenAnswer open) {
+    private Flux<byte[]> relay(Call call, Placement placement, StreamedResponse response) {
         EventFramer framer = new EventFramer();
-        return open.body()
-                .concatMapIterable(framer::take)
+        return response.body()
+                .concatMapIterable(framer::append)
                 .doOnNext(event -> {
                     placement.started();
-                    call.event(event.id(), loop.nowNanos());
-                    observe(call);
+                    call.recordEvent(event.id(), loop.nowNanos());
+                    recordEventTiming(call);
                 })
                 .map(EventFramer.Event::bytes)
-                .concatWith(Mono.defer(() -> framer.betweenEvents()
+                .concatWith(Mono.defer(() -> framer.isAtEventBoundary()
                         ? Mono.empty()
-                        : Mono.error(new SendFailure(true, new IllegalStateException("ended inside an event")))))
-                .doOnComplete(() -> ended(call, placement))
+                        : Mono.error(new WorkerConnectionException(
+                                true, new IllegalStateException("stream ended with an incomplete event")))))
+                .doOnComplete(() -> recordCompletion(call, placement))
                 .doFinally(signal -> placement.ended())
-                .onErrorResume(SendFailure.class, error -> resume(call, placement, error));
+                .onErrorResume(WorkerConnectionException.class, error -> resume(call, placement, error));
     }
 
-    private void observe(Call call) {
-        EngineModel model = state.model(call.terms().upstream().name());
-        if (call.events() > 1) {
-            model.recordEventGap(call.lastPauseMillis(), call.terms().upstream().tokensPerEvent());
-        } else if (EngineLines.patient(call)) {
-            model.recordFirstEvent(call.sinceSentMillis(loop.nowNanos()));
+    private void recordEventTiming(Call call) {
+        EngineModel model = state.model(call.attributes().upstream().name());
+        if (call.eventCount() > 1) {
+            model.recordEventGap(
+                    call.lastEventGapMillis(), call.attributes().upstream().tokensPerEvent());
+        } else if (EngineQueues.isDelayTolerant(call)) {
+            model.recordFirstEvent(call.millisSinceSend(loop.nowNanos()));
         }
     }
 
-    private void ended(Call call, Placement placement) {
+    private void recordCompletion(Call call, Placement placement) {
         placement.succeeded(loop.nowNanos());
-        broken.finished(call);
-        if (EngineLines.patient(call)) {
-            int tokens = call.events() * call.terms().upstream().tokensPerEvent();
-            state.model(call.terms().upstream().name()).recordCompletion(tokens);
+        failureHandler.recordFinished(call);
+        if (EngineQueues.isDelayTolerant(call)) {
+            int tokens = call.eventCount() * call.attributes().upstream().tokensPerEvent();
+            state.model(call.attributes().upstream().name()).recordCompletion(tokens);
         }
     }
 
-    /** Goes on after the last whole event at another worker; the broken connection has stopped the first one. */
-    private Flux<byte[]> resume(Call call, Placement placement, SendFailure error) {
+    /**
+     * Resumes a broken stream after its last complete event at another worker. The first worker has stopped, because its
+     * connection is closed.
+     */
+    private Flux<byte[]> resume(Call call, Placement placement, WorkerConnectionException error) {
         placement.failed(loop.nowNanos());
-        Mono<Void> followed = broken.broke(call, placement.entry(), error.getMessage());
-        if (!call.terms().route().repeatable()) {
+        Mono<Void> handled = failureHandler.handleFailure(call, placement.entry(), error.getMessage());
+        if (!call.attributes().route().repeatable()) {
             return Flux.error(error);
         }
-        return followed.thenMany(Flux.defer(() -> goOn(call, error)));
+        return handled.thenMany(Flux.defer(() -> resumeElsewhere(call, error)));
     }
 
-    private Flux<byte[]> goOn(Call call, SendFailure error) {
-        if (!mayRepeat(call, loop.nowNanos())) {
+    private Flux<byte[]> resumeElsewhere(Call call, WorkerConnectionException error) {
+        if (!tryAcquireRetry(call, loop.nowNanos())) {
             return Flux.error(error);
         }
         return attempt(call, Optional.empty())
-                .flatMapMany(reply -> reply instanceof Reply.Stream stream ? stream.events() : Flux.error(error));
+                .flatMapMany(reply -> reply instanceof Reply.Streamed streamed ? streamed.events() : Flux.error(error));
     }
 
-    private HttpHeaders workerHeaders(Call call, Selection.Outcome.Placed placed) {
+    private HttpHeaders workerHeaders(Call call, WorkerSelection.Outcome.Placed placed) {
         HttpHeaders headers = new DefaultHttpHeaders().add(call.headers());
-        Call.Terms terms = call.terms();
-        long left = Math.max(1, call.leftMillis(loop.nowNanos()));
+        Call.Attributes attributes = call.attributes();
+        long remainingMillis = Math.max(1, call.remainingMillis(loop.nowNanos()));
         dialect.addWorkerHeaders(
                 headers,
                 new Dialect.WorkerRequestInfo(
                         placed.placement().entry().id(),
-                        terms.customer(),
-                        left,
-                        terms.priority(),
-                        terms.upstream().engine(),
+                        attributes.customer(),
+                        remainingMillis,
+                        attributes.priority(),
+                        attributes.upstream().engine(),
                         placed.fetchFrom()));
         if (!call.lastEventId().isEmpty()) {
             headers.set(dialect.lastEventIdHeader(), call.lastEventId());
@@ -327,34 +362,42 @@
         return headers;
     }
 
-    /** The time is up while a worker has the request: it may be running still. */
-    private Reply timedOut(Call call, Placement placement) {
+    /** Handles a deadline that passes while a worker has the request, which may still be running there. */
+    private Reply handleTimeout(Call call, Placement placement) {
         placement.ended();
         placement.failed(loop.nowNanos());
-        call.mayHaveRun();
-        return new Reply.Own(new OwnAnswer(OwnAnswer.GATEWAY_TIMEOUT, "timeout", 0));
+        call.markPossiblyExecuted();
+        return new Reply.Local(new LocalReply(LocalReply.GATEWAY_TIMEOUT, "timeout", 0));
     }
 
     /**
-     * The answer when nothing more is tried: a worker's own if there is one. That the request was not run is said only if
-     * no attempt of it may have run.
+     * Returns the reply when there are no further attempts: a worker's earlier error response if there is one, otherwise
+     * one of the router. It states that the request was not executed only if no attempt may have executed it.
      */
-    private static Reply last(Call call, Optional<WholeAnswer> earlier, String reason) {
-        if (earlier.isPresent()) {
-            return whole(earlier.get());
+    private static Reply finalReply(Call call, Optional<BufferedResponse> earlierResponse, String reason) {
+        if (earlierResponse.isPresent()) {
+            return toReply(earlierResponse.get());
         }
-        return new Reply.Own(
-                call.hasMaybeRun() ? OwnAnswer.unknown(reason) : OwnAnswer.notRun(reason, RETRY_AFTER_FULL_MILLIS));
+        return new Reply.Local(
+                call.isPossiblyExecuted()
+                        ? LocalReply.possiblyExecuted(reason)
+                        : LocalReply.notExecuted(reason, RETRY_AFTER_FULL_MILLIS));
     }
 
-    /** The refusal of a request that crashes workers, unless there is something better or it may have run. */
-    private static Reply quarantined(Call call, Optional<WholeAnswer> earlier, Verdict.Quarantined held) {
+    /**
+     * Returns the reply to a request in quarantine: a rejection until the quarantine ends, unless there is an earlier
+     * response of a worker or the request may have been executed.
+     */
+    private static Reply quarantineReply(
+            Call call, Optional<BufferedResponse> earlierResponse, Verdict.Quarantined quarantined) {
         String reason = "workers crash under this request";
-        boolean refused = earlier.isEmpty() && !call.hasMaybeRun();
-        return refused ? new Reply.Own(OwnAnswer.notRun(reason, held.retryAfterMillis())) : last(call, earlier, reason);
+        boolean isNotExecuted = earlierResponse.isEmpty() && !call.isPossiblyExecuted();
+        return isNotExecuted
+                ? new Reply.Local(LocalReply.notExecuted(reason, quarantined.retryAfterMillis()))
+                : finalReply(call, earlierResponse, reason);
     }
 
-    private static Reply whole(WholeAnswer answer) {
-        return new Reply.Whole(answer.status(), answer.headers(), answer.body());
+    private static Reply toReply(BufferedResponse response) {
+        return new Reply.Buffered(response.status(), response.headers(), response.body());
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Reply.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Reply.java
@@ -3,30 +3,31 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import org.reactivestreams.Publisher;
 
-/** What a client is answered. */
+/** The response to a client. */
 public sealed interface Reply {
     /**
-     * The whole answer of a worker.
+     * The complete response of a worker.
      *
-     * @param status the worker's status
-     * @param headers the worker's headers
-     * @param body the worker's body
+     * @param status the worker's HTTP status code
+     * @param headers the worker's response headers, hop-by-hop headers included
+     * @param body the worker's complete response body
      */
-    record Whole(int status, HttpHeaders headers, byte[] body) implements Reply {}
+    record Buffered(int status, HttpHeaders headers, byte[] body) implements Reply {}
 
     /**
-     * A worker's answer that is passed on while it comes.
+     * A worker's event stream, passed on as it arrives.
      *
-     * @param status the worker's status
-     * @param headers the worker's headers
-     * @param events whole events; an error means that the stream broke, and its client must see that
+     * @param status the worker's HTTP status code
+     * @param headers the worker's response headers, hop-by-hop headers included
+     * @param events complete server-sent events as bytes; ends with an error if the stream broke, which must be visible
+     *     to the client
      */
-    record Stream(int status, HttpHeaders headers, Publisher<byte[]> events) implements Reply {}
+    record Streamed(int status, HttpHeaders headers, Publisher<byte[]> events) implements Reply {}
 
     /**
-     * The router's own answer.
+     * A response that the router generated itself.
      *
-     * @param answer the answer
+     * @param reply the status and reason to send
      */
-    record Own(OwnAnswer answer) implements Reply {}
+    record Local(LocalReply reply) implements Reply {}
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/StreamTimeoutException.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/StreamTimeoutException.java
@@ -1,10 +1,10 @@
 package org.dotterelcourse.gateway.forward;
 
-/** A stream was still under way when its time was up. */
+/** Thrown when a stream is still in progress at the deadline of its request. */
 final class StreamTimeoutException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     StreamTimeoutException() {
-        super("the stream has outlasted its time", null, false, false);
+        super("stream still in progress at the deadline", null, false, false);
     }
 }
--- /dev/null
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/StreamedResponse.java
@@ -0,0 +1,14 @@
+package org.dotterelcourse.gateway.forward;
+
+import io.netty.handler.codec.http.HttpHeaders;
+import reactor.core.publisher.Flux;
+
+/**
+ * A worker's response whose headers have arrived and whose body is still to be received.
+ *
+ * @param status the HTTP status code
+ * @param headers the response headers
+ * @param body the body; completes without an error only if it is complete, and closes the connection when cancelled
+ * @param close closes the connection; does nothing if it is already closed
+ */
+record StreamedResponse(int status, HttpHeaders headers, Flux<byte[]> body, Runnable close) {}
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/WorkerClient.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/WorkerClient.java
@@ -18,93 +18,95 @@
 import reactor.netty.resources.ConnectionProvider;
 
 /**
- * Sends requests to workers over HTTP/1.1, on a connection that was used a moment ago where there is one.
+ * Sends requests to workers over HTTP/1.1, on recently used connections where possible.
  *
- * <p>Kept connections save workers a handshake for each request. They have two dangers. A request on one that has gone
- * silent, or that the worker closes in the same moment, is lost, and nobody can tell whether it ran; so a connection is
- * used again only shortly after its last answer, and only after one that was a success. And a worker's late second
- * answer could be taken for the next request's; what arrives on an idle connection closes it, and an answer with another
- * request's id is not used ({@link Forwarder}).
+ * <p>Pooled connections save workers a handshake per request, but have two risks. First, a request is lost if its
+ * connection no longer responds or is closed by the worker at the same moment, and it cannot be determined whether it
+ * was executed. Therefore a connection is reused only within a short time after its last response, and only if that
+ * response was a success. Second, a late second response of a worker could be taken for the response to the next
+ * request. Therefore data on an idle connection closes it ({@link UnsolicitedDataHandler}), and a response with the id of
+ * another request is not used ({@link ResponseValidator}).
  */
 final class WorkerClient {
     /**
-     * How long a connection may take. Workers accept within a few milliseconds; a first packet that was lost is sent
-     * again only after a second, when another worker would long have answered.
+     * Workers accept connections within a few milliseconds. A lost first packet is retransmitted only after a second, by
+     * which time another worker would have responded.
      */
     private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
     /**
-     * How long an idle connection is kept. A longer time saves handshakes; but a worker that falls silent swallows the
-     * requests on the connections that were used within this time.
+     * Maximum idle time of a pooled connection. Higher values save handshakes; but when a worker stops responding, the
+     * requests on all connections that were used within this time are lost.
      */
-    private static final Duration MAX_IDLE = Duration.ofSeconds(4);
+    private static final Duration MAX_IDLE_TIME = Duration.ofSeconds(4);
 
-    /** Connections to one worker; workers take some hundred from all processes together. */
+    /** Maximum number of connections per worker. Workers accept a few hundred from all router processes together. */
     private static final int MAX_CONNECTIONS = 128;
 
-    private static final int FIRST_UNSUCCESSFUL = 300;
+    private static final int MIN_NON_SUCCESS_STATUS = 300;
 
     private final HttpClient client;
 
     WorkerClient(GatewayLoop loop) {
-        ConnectionProvider kept = ConnectionProvider.builder("workers")
+        ConnectionProvider pool = ConnectionProvider.builder("workers")
                 .maxConnections(MAX_CONNECTIONS)
-                .maxIdleTime(MAX_IDLE)
+                .maxIdleTime(MAX_IDLE_TIME)
                 .lifo()
                 .build();
-        // The client would send a request again by itself when a connection breaks early, and a payout would run twice.
-        client = HttpClient.create(kept)
+        // By default, the client resends a request when its connection closes early, and a payout would run twice.
+        client = HttpClient.create(pool)
                 .runOn(loop.resources(), false)
                 .disableRetry(true)
-                .doOnChannelInit((observer, channel, address) -> IdleGuard.add(channel))
-                .observe(IdleGuard::observe)
+                .doOnChannelInit((observer, channel, address) -> UnsolicitedDataHandler.install(channel))
+                .observe(UnsolicitedDataHandler::updateIdleState)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
     }
 
     /**
      * Sends a request.
      *
-     * @param worker where to
-     * @param method its method
-     * @param uri path and query, sent as they are
-     * @param headers its headers, sent as they are
-     * @param body its body
-     * @return the answer's beginning; an error of the type {@link SendFailure} if there is none
+     * @param worker the worker to send it to
+     * @param method the HTTP method
+     * @param uri the path and query, sent unchanged
+     * @param headers the request headers, sent unchanged
+     * @param body the request body
+     * @return the response once its headers have arrived, or an error of type {@link WorkerConnectionException}
      */
-    Mono<OpenAnswer> send(WorkerEntry worker, HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
+    Mono<StreamedResponse> send(WorkerEntry worker, HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
         return Mono.defer(() -> {
-            AtomicBoolean sent = new AtomicBoolean();
+            AtomicBoolean isSent = new AtomicBoolean();
             InetSocketAddress address = new InetSocketAddress(worker.host(), worker.port());
             return client.remoteAddress(() -> address)
-                    .doOnRequest((request, connection) -> sent.set(true))
-                    .headers(each -> each.clear().add(headers))
+                    .doOnRequest((request, connection) -> isSent.set(true))
+                    .headers(requestHeaders -> requestHeaders.clear().add(headers))
                     .request(method)
                     .uri(uri)
                     .send((request, outbound) ->
                             body.length == 0 ? outbound : outbound.sendObject(Unpooled.wrappedBuffer(body)))
-                    .responseConnection((response, connection) -> Mono.just(open(response, connection)))
+                    .responseConnection((response, connection) -> Mono.just(toStreamedResponse(response, connection)))
                     .single()
-                    .onErrorMap(error -> new SendFailure(sent.get(), error));
+                    .onErrorMap(error -> new WorkerConnectionException(isSent.get(), error));
         });
     }
 
-    private static OpenAnswer open(HttpClientResponse response, Connection connection) {
+    private static StreamedResponse toStreamedResponse(HttpClientResponse response, Connection connection) {
         int status = response.status().code();
         Runnable close = () -> connection.channel().close();
-        // A client that closes its connection after the answer cancels this while its last signal is on its way. So the
-        // signal at the end doesn't tell whether the body was whole.
-        AtomicBoolean whole = new AtomicBoolean();
+        // A client that closes its connection after the response cancels this flux while its last signal is in flight,
+        // so
+        // the final signal does not show whether the body was complete.
+        AtomicBoolean isComplete = new AtomicBoolean();
         Flux<byte[]> body = connection
                 .inbound()
                 .receive()
                 .asByteArray()
-                .onErrorMap(error -> new SendFailure(true, error))
-                .doOnComplete(() -> whole.set(true))
+                .onErrorMap(error -> new WorkerConnectionException(true, error))
+                .doOnComplete(() -> isComplete.set(true))
                 .doFinally(signal -> {
-                    if (!whole.get() || status >= FIRST_UNSUCCESSFUL) {
+                    if (!isComplete.get() || status >= MIN_NON_SUCCESS_STATUS) {
                         close.run();
                     }
                 });
-        return new OpenAnswer(status, response.responseHeaders().copy(), body, close);
+        return new StreamedResponse(status, response.responseHeaders().copy(), body, close);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/WorkerProbe.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/WorkerProbe.java
@@ -14,54 +14,54 @@
 import reactor.netty.tcp.TcpClient;
 
 /**
- * Finds out whether a worker that broke off a request has crashed. Workers also break off answers while they live; only a
- * crashed one refuses new connections.
+ * Determines by a TCP connect whether a worker that aborted a request has crashed. Running workers abort responses as
+ * well, but only a crashed one refuses new connections.
  */
 final class WorkerProbe {
-    /** A crashed process's machine refuses within a round trip; what takes longer tells nothing. */
-    private static final int TIMEOUT_MILLIS = 250;
+    /** The machine of a crashed process refuses within one round trip; a slower result proves nothing. */
+    private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
     private final TcpClient client;
 
-    /** Probes under way, by the worker's address: all requests that break with a worker share one. */
-    private final Map<String, Mono<Finding>> underWay = new HashMap<>();
+    /** Probes in flight by worker address. All requests that fail together at a worker share one probe. */
+    private final Map<String, Mono<Result>> inFlight = new HashMap<>();
 
     WorkerProbe(GatewayLoop loop) {
         client = TcpClient.newConnection()
                 .runOn(loop.resources(), false)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TIMEOUT_MILLIS);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
     }
 
-    /** What became of a worker. */
-    enum Finding {
-        /** Nothing listens at its address. */
+    /** Result of a probe. */
+    enum Result {
+        /** The connection was refused: no process listens at the worker's address. */
         CRASHED,
-        /** It takes connections. */
+        /** The worker accepted the connection. */
         ALIVE,
-        /** It could not be asked. */
+        /** The probe timed out or failed for another reason. */
         UNKNOWN
     }
 
-    /** Asks for a connection, and closes it at once. Used on the gateway's loop only. */
-    Mono<Finding> probe(WorkerEntry worker) {
-        return Mono.defer(() -> underWay.computeIfAbsent(
+    /** Connects to the worker and closes the connection at once. Must be called on the gateway's event loop. */
+    Mono<Result> probe(WorkerEntry worker) {
+        return Mono.defer(() -> inFlight.computeIfAbsent(
                 worker.address(),
                 address -> connect(worker)
-                        .doFinally(signal -> underWay.remove(address))
+                        .doFinally(signal -> inFlight.remove(address))
                         .cache()));
     }
 
-    private Mono<Finding> connect(WorkerEntry worker) {
+    private Mono<Result> connect(WorkerEntry worker) {
         InetSocketAddress address = new InetSocketAddress(worker.host(), worker.port());
         return client.remoteAddress(() -> address)
                 .connect()
                 .doOnNext(Connection::dispose)
-                .map(connection -> Finding.ALIVE)
-                .onErrorResume(error -> Mono.just(finding(error)));
+                .map(connection -> Result.ALIVE)
+                .onErrorResume(error -> Mono.just(classify(error)));
     }
 
-    private static Finding finding(Throwable error) {
-        boolean refused = error instanceof ConnectException && !(error instanceof ConnectTimeoutException);
-        return refused ? Finding.CRASHED : Finding.UNKNOWN;
+    private static Result classify(Throwable error) {
+        boolean isRefused = error instanceof ConnectException && !(error instanceof ConnectTimeoutException);
+        return isRefused ? Result.CRASHED : Result.UNKNOWN;
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/package-info.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/package-info.java
@@ -1,2 +1,2 @@
-/** The way of one request: to a worker, to another one if need be, and its answer back. */
+/** Forwards admitted requests to workers: selection, retries, stream resumption and validation of the responses. */
 package org.dotterelcourse.gateway.forward;
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SelectionOfSuspectsTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SuspectPlacementTest.java
@@ -22,10 +22,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class SelectionOfSuspectsTest {
-    private static final int ENGINES = 6;
-    private static final int SUSPECTS = 4;
-    private static final long NOW = 1_000_000_000_000L;
+class SuspectPlacementTest {
+    private static final int ENGINE_COUNT = 6;
+    private static final int SUSPECT_COUNT = 4;
+    private static final long NOW_NANOS = 1_000_000_000_000L;
     private static final UpstreamSpec UPSTREAM =
             new UpstreamSpec("llm", true, 2, TransferCost.unsupported(), ColdStart.none());
     private static final Prompt PROMPT = new Prompt(
@@ -35,38 +35,38 @@
             LatencyClass.START_SENSITIVE);
 
     private final GatewayState state = new GatewayState(new GatewayState.RepeatLimit(0.2, 50, 10_000_000_000L));
-    private final Selection selection = new Selection("dc-a", state, new Random(20261203));
+    private final WorkerSelection selection = new WorkerSelection("dc-a", state, new Random(20261203));
 
     @BeforeEach
-    void startEngines() {
-        for (int i = 0; i < ENGINES; i++) {
+    void publishEngines() {
+        for (int i = 0; i < ENGINE_COUNT; i++) {
             WorkerEntry entry = new WorkerEntry("e-" + i, 0, "llm", "10.0.0." + i, 80, "dc-a", 16, false, 0);
-            state.workers().published(entry, NOW);
+            state.workers().published(entry, NOW_NANOS);
         }
     }
 
     @Test
-    void requestsUnderWhichAWorkerCrashedAreNotSentToTheSameWorkerAgain() {
+    void suspectRequestsArePlacedOnSeparateWorkers() {
         Set<String> workers = new HashSet<>();
-        for (int i = 0; i < SUSPECTS; i++) {
-            workers.add(place(suspect("id-" + i)));
+        for (int i = 0; i < SUSPECT_COUNT; i++) {
+            workers.add(place(suspectCall("id-" + i)));
         }
-        assertThat(workers).hasSize(SUSPECTS);
+        assertThat(workers).hasSize(SUSPECT_COUNT);
     }
 
     @Test
-    void theyAreServedTogetherWhereThereAreTooFewWorkers() {
-        for (int i = 0; i < ENGINES + SUSPECTS; i++) {
-            assertThat(place(suspect("id-" + i))).isNotEmpty();
+    void suspectRequestsShareWorkersIfThereAreTooFew() {
+        for (int i = 0; i < ENGINE_COUNT + SUSPECT_COUNT; i++) {
+            assertThat(place(suspectCall("id-" + i))).isNotEmpty();
         }
     }
 
     private String place(Call call) {
-        Selection.Outcome outcome = selection.place(call, NOW);
-        return ((Selection.Outcome.Placed) outcome).placement().entry().id();
+        WorkerSelection.Outcome outcome = selection.place(call, NOW_NANOS);
+        return ((WorkerSelection.Outcome.Placed) outcome).placement().entry().id();
     }
 
-    private static Call suspect(String id) {
+    private static Call suspectCall(String id) {
         Route route = new Route(
                 "draft",
                 "a.example",
@@ -80,10 +80,10 @@
                 2,
                 false,
                 true);
-        Call.Terms terms =
-                new Call.Terms(id, route, UPSTREAM, "bank", 0, Optional.of(PROMPT), NOW, NOW + 8_000_000_000L);
-        Call call = new Call(terms, HttpMethod.POST, "/1", new DefaultHttpHeaders(), new byte[0]);
-        call.suspect(true);
+        Call.Attributes attributes = new Call.Attributes(
+                id, route, UPSTREAM, "bank", 0, Optional.of(PROMPT), NOW_NANOS, NOW_NANOS + 8_000_000_000L);
+        Call call = new Call(attributes, HttpMethod.POST, "/1", new DefaultHttpHeaders(), new byte[0]);
+        call.setSuspect(true);
         return call;
     }
 }
