--- /dev/null
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientHttpServer.java
@@ -0,0 +1,265 @@
+package org.dotterelcourse.gateway.edge;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import org.dotterelcourse.daemon.http.BoundedBodyCollector;
+import org.dotterelcourse.daemon.kernel.Kernel;
+import org.dotterelcourse.daemon.kernel.Service;
+import org.dotterelcourse.daemon.kernel.ServiceName;
+import org.dotterelcourse.daemon.kernel.StartupFailure;
+import org.dotterelcourse.gateway.GatewayLoop;
+import org.dotterelcourse.gateway.GatewayState;
+import org.dotterelcourse.gateway.forward.Call;
+import org.dotterelcourse.gateway.forward.Dialect;
+import org.dotterelcourse.gateway.forward.Forwarder;
+import org.dotterelcourse.gateway.forward.LocalReply;
+import org.dotterelcourse.gateway.forward.Reply;
+import org.reactivestreams.Publisher;
+import reactor.core.publisher.Flux;
+import reactor.core.publisher.Mono;
+import reactor.netty.ByteBufFlux;
+import reactor.netty.ChannelBindException;
+import reactor.netty.DisposableServer;
+import reactor.netty.http.server.HttpServer;
+import reactor.netty.http.server.HttpServerRequest;
+import reactor.netty.http.server.HttpServerResponse;
+
+/** HTTP server for clients. Reads each request completely, passes it to the {@link Forwarder} and sends the reply. */
+public final class ClientHttpServer implements Service {
+    /** The name under which the kernel registers the service. */
+    public static final ServiceName<ClientHttpServer> NAME = new ServiceName<>("clients-edge", ClientHttpServer.class);
+
+    /**
+     * Maximum time that a request is assumed to have waited before it was read. After a pause of the whole process, its
+     * timers are much later than most requests that arrive then.
+     */
+    private static final long MAX_READ_DELAY_MILLIS = 1_000;
+
+    private static final LocalReply TOO_LARGE = new LocalReply(413, "the body is too long", 0);
+
+    /** Twice the published limit for clients, so that requests are rejected by that limit and not by the HTTP parser. */
+    private static final int MAX_HEADER_BYTES = 32_768;
+
+    /** Above the clients' idle timeouts (15 s), so that no connection is closed that a client may still use. */
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(90);
+
+    private static final Duration STOP_TIMEOUT = Duration.ofMillis(200);
+
+    private final ListenAddress listenAddress;
+    private final Dialect dialect;
+    private final Admission admission;
+    private final InFlightCounter inFlight = new InFlightCounter();
+    private GatewayLoop loop;
+    private GatewayState state;
+    private RequestPacer pacer;
+    private Forwarder forwarder;
+    private DisposableServer server;
+    private volatile Phase phase = Phase.SERVING;
+
+    /** Phase of the process with regard to a shutdown. */
+    public enum Phase {
+        /** No shutdown has begun: requests are accepted. */
+        SERVING,
+        /** Requests of clients that have not noticed the shutdown are accepted, with "Connection: close" in the reply. */
+        LEAVING,
+        /** Requests in flight are completed, new ones are rejected. */
+        DRAINING
+    }
+
+    /**
+     * Address of the listening socket.
+     *
+     * @param address the IP address
+     * @param port the TCP port, 0 for any free port
+     */
+    public record ListenAddress(String address, int port) {}
+
+    /**
+     * Creates a server, which listens only after {@link #start(Kernel)}.
+     *
+     * @param listenAddress the address to listen on
+     * @param dialect the platform-specific headers of clients
+     */
+    public ClientHttpServer(ListenAddress listenAddress, Dialect dialect) {
+        this.listenAddress = listenAddress;
+        this.dialect = dialect;
+        this.admission = new Admission(dialect);
+    }
+
+    @Override
+    public ServiceName<ClientHttpServer> name() {
+        return NAME;
+    }
+
+    @Override
+    public List<ServiceName<?>> dependencies() {
+        return List.of(GatewayLoop.NAME, GatewayState.NAME, Forwarder.NAME);
+    }
+
+    @Override
+    public List<StartupFailure> start(Kernel kernel) {
+        loop = kernel.find(GatewayLoop.NAME);
+        state = kernel.find(GatewayState.NAME);
+        pacer = new RequestPacer(loop);
+        forwarder = kernel.find(Forwarder.NAME);
+        try {
+            server = HttpServer.create()
+                    .host(listenAddress.address())
+                    .port(listenAddress.port())
+                    .runOn(loop.resources(), false)
+                    .idleTimeout(IDLE_TIMEOUT)
+                    .httpRequestDecoder(
+                            decoder -> decoder.maxHeaderSize(MAX_HEADER_BYTES).maxInitialLineLength(MAX_HEADER_BYTES))
+                    .handle(this::handle)
+                    .bindNow();
+            return List.of();
+        } catch (ChannelBindException e) {
+            return List.of(new StartupFailure(NAME.value(), "can't listen for clients: " + e.getMessage()));
+        }
+    }
+
+    @Override
+    public void stop() {
+        server.disposeNow(STOP_TIMEOUT);
+    }
+
+    /**
+     * Returns the TCP port of the listening socket. Must not be called before {@link #start(Kernel)} has succeeded.
+     *
+     * @return the actual port, also if a free one was requested
+     */
+    public int port() {
+        return server.port();
+    }
+
+    /**
+     * Enters the next phase of a shutdown. On {@link Phase#DRAINING}, queued requests are rejected as well.
+     *
+     * @param next the phase to enter
+     */
+    public void enterPhase(Phase next) {
+        phase = next;
+        if (next == Phase.DRAINING) {
+            forwarder.rejectQueued();
+        }
+    }
+
+    /**
+     * Returns the counter of requests in flight.
+     *
+     * @return the counter, which keeps changing
+     */
+    public InFlightCounter inFlight() {
+        return inFlight;
+    }
+
+    private Publisher<Void> handle(HttpServerRequest request, HttpServerResponse response) {
+        long arrivalNanos = loop.nowNanos() - readDelayNanos();
+        RequestLog log = new RequestLog(dialect.requestId(request.requestHeaders()), arrivalNanos);
+        return Mono.defer(() -> {
+                    inFlight.increment();
+                    return readBody(request)
+                            .flatMap(body -> pacer.admit().thenReturn(body))
+                            .flatMap(body -> serve(request, response, body, arrivalNanos, log));
+                })
+                .takeUntilOther(disconnection(request))
+                .onErrorResume(
+                        BoundedBodyCollector.TooLargeException.class, error -> sendLocal(response, TOO_LARGE, log))
+                .doOnError(error -> log.recordFailure(error))
+                .doOnCancel(log::recordClientDisconnect)
+                .doFinally(signal -> {
+                    inFlight.decrement();
+                    log.write(loop.nowNanos());
+                });
+    }
+
+    /**
+     * Estimates how long a request that is read now has waited to be read, by the current lateness of the event loop. If
+     * deadlines were counted from the time of reading, they would be later than the clients' own: workers would receive
+     * requests whose clients have given up, and final replies would be late.
+     */
+    private long readDelayNanos() {
+        return TimeUnit.MILLISECONDS.toNanos(Math.min(MAX_READ_DELAY_MILLIS, loop.lateMillis()));
+    }
+
+    /** Completes when the client's connection closes. Its listener is removed at the end of the request. */
+    private static Mono<Void> disconnection(HttpServerRequest request) {
+        return Mono.create(sink -> request.withConnection(connection -> {
+            ChannelFuture closeFuture = connection.channel().closeFuture();
+            ChannelFutureListener listener = future -> sink.success();
+            closeFuture.addListener(listener);
+            sink.onDispose(() -> closeFuture.removeListener(listener));
+        }));
+    }
+
+    private Mono<byte[]> readBody(HttpServerRequest request) {
+        int maxBytes = state.table().map(table -> table.limits().maxBodyBytes()).orElse(MAX_HEADER_BYTES);
+        return new BoundedBodyCollector(maxBytes).collect(request.receive());
+    }
+
+    private Mono<Void> serve(
+            HttpServerRequest request, HttpServerResponse response, byte[] body, long arrivalNanos, RequestLog log) {
+        if (phase != Phase.SERVING) {
+            response.header(HttpHeaderNames.CONNECTION, "close");
+        }
+        if (phase == Phase.DRAINING) {
+            return sendLocal(response, LocalReply.notExecuted("shutting down", 1), log);
+        }
+        HttpHeaders headers = request.requestHeaders();
+        Admission.Decision decision = admission.decide(state.table(), headers, request.uri(), arrivalNanos);
+        if (decision instanceof Admission.Decision.Rejected rejected) {
+            return sendLocal(response, rejected.reply(), log);
+        }
+        Call.Attributes attributes = ((Admission.Decision.Admitted) decision).attributes();
+        HttpHeaders forwardedHeaders = admission.forwardedRequestHeaders(headers);
+        if (body.length > 0 || headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
+            forwardedHeaders.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+        }
+        Call call = new Call(attributes, request.method(), request.uri(), forwardedHeaders, body);
+        log.setCall(call);
+        return forwarder.forward(call).flatMap(reply -> send(response, reply, log));
+    }
+
+    private Mono<Void> send(HttpServerResponse response, Reply reply, RequestLog log) {
+        if (reply instanceof Reply.Local local) {
+            return sendLocal(response, local.reply(), log);
+        }
+        if (reply instanceof Reply.Buffered buffered) {
+            log.setStatus(buffered.status(), "");
+            response.status(buffered.status());
+            response.responseHeaders().add(Admission.forwardedResponseHeaders(buffered.headers()));
+            response.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(buffered.body().length));
+            return response.sendObject(Unpooled.wrappedBuffer(buffered.body())).then();
+        }
+        Reply.Streamed streamed = (Reply.Streamed) reply;
+        log.setStatus(streamed.status(), "");
+        response.status(streamed.status());
+        response.responseHeaders().add(Admission.forwardedResponseHeaders(streamed.headers()));
+        response.chunkedTransfer(true);
+        return response.send(
+                        ByteBufFlux.fromInbound(Flux.from(streamed.events()).map(Unpooled::wrappedBuffer)),
+                        buffer -> true)
+                .then()
+                .doOnError(error -> {
+                    log.recordFailure(error);
+                    response.withConnection(connection -> connection.channel().close());
+                });
+    }
+
+    private static Mono<Void> sendLocal(HttpServerResponse response, LocalReply reply, RequestLog log) {
+        log.setStatus(reply.status(), reply.reason());
+        response.status(reply.status());
+        if (reply.retryAfterMillis() > 0) {
+            response.header(HttpHeaderNames.RETRY_AFTER, RetryAfter.seconds(reply.retryAfterMillis()));
+        }
+        response.header(HttpHeaderNames.CONTENT_LENGTH, "0");
+        return response.send().then();
+    }
+}
