--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
@@ -109,7 +109,7 @@
      * @param millis the time
      * @param task must not block
      */
-    public void after(long millis, Runnable task) {
+    public void runAfter(long millis, Runnable task) {
         schedule(task, TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
@@ -82,8 +82,8 @@
             audit.add(AuditEvent.Kind.PROCESS, peers.self(), "SIGTERM", "serving", "leaving");
             edge.phase(ClientsEdge.Phase.LEAVING);
             peers.leave();
-            loop.after(LEAVING_MILLIS, () -> edge.phase(ClientsEdge.Phase.CLOSING));
-            loop.after(LEAVING_MILLIS + LOOK_MILLIS, this::look);
+            loop.runAfter(LEAVING_MILLIS, () -> edge.phase(ClientsEdge.Phase.CLOSING));
+            loop.runAfter(LEAVING_MILLIS + LOOK_MILLIS, this::look);
         });
     }
 
@@ -117,6 +117,6 @@
             done.countDown();
             return;
         }
-        loop.after(LOOK_MILLIS, this::look);
+        loop.runAfter(LOOK_MILLIS, this::look);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Turns.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Turns.java
@@ -47,7 +47,7 @@
         sink.onDispose(() -> waiting.remove(sink));
         if (!going) {
             going = true;
-            loop.after(LOOK_MILLIS, () -> loop.after(LOOK_MILLIS, this::go));
+            loop.runAfter(LOOK_MILLIS, () -> loop.runAfter(LOOK_MILLIS, this::go));
         }
     }
 
@@ -61,7 +61,7 @@
         }
         going = !waiting.isEmpty();
         if (going) {
-            loop.after(LOOK_MILLIS, this::go);
+            loop.runAfter(LOOK_MILLIS, this::go);
         }
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -135,7 +135,7 @@
         transport = peers.transport();
         transport.registerHandler(
                 LOADS, message -> loop.execute(() -> loads(message.sender().name(), message.body())));
-        loop.after(DIRECT_PERIOD_MILLIS, this::tell);
+        loop.runAfter(DIRECT_PERIOD_MILLIS, this::tell);
         return List.of();
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
@@ -87,7 +87,7 @@
         publications.duty().behind(behind, loop.nowNanos());
         if (behind && !asking) {
             asking = true;
-            loop.after(BEHIND_MILLIS, () -> askIfBehind(peer, position));
+            loop.runAfter(BEHIND_MILLIS, () -> askIfBehind(peer, position));
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -118,7 +118,7 @@
         entry.sink.onDispose(() -> line.remove(entry));
         if (!looking) {
             looking = true;
-            loop.after(LOOK_MILLIS, this::look);
+            loop.runAfter(LOOK_MILLIS, this::look);
         }
     }
 
@@ -134,7 +134,7 @@
         }
         looking = lines.values().stream().anyMatch(line -> line.size() > 0);
         if (looking) {
-            loop.after(LOOK_MILLIS, this::look);
+            loop.runAfter(LOOK_MILLIS, this::look);
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -218,9 +218,9 @@
             boolean renewed = decoder.renewed(item.key());
             long heldMillis = holdMillis();
             if (item.deleted() && heldMillis > 0 && (renewed || change.doubtful())) {
-                loop.after(heldMillis + 1, () -> deleteUnlessBack(item));
+                loop.runAfter(heldMillis + 1, () -> deleteUnlessBack(item));
             } else if (!item.deleted() && renewed && change.doubtful()) {
-                loop.after(COPIED_MILLIS, () -> addUnlessGone(item.key()));
+                loop.runAfter(COPIED_MILLIS, () -> addUnlessGone(item.key()));
             } else {
                 decoder.changed(item, loop.nowNanos());
             }
