--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
@@ -98,7 +98,7 @@
      * @param periodMillis the period
      * @param task must not block
      */
-    public void atNext(long periodMillis, Runnable task) {
+    public void runAtNextMultiple(long periodMillis, Runnable task) {
         long periodNanos = TimeUnit.MILLISECONDS.toNanos(periodMillis);
         schedule(task, periodNanos - Math.floorMod(nowNanos(), periodNanos));
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -172,7 +172,7 @@
             tellByPlan(now);
         }
         long period = Math.max(DIRECT_PERIOD_MILLIS, MILLIS_PER_PEER * others.size());
-        loop.atNext(plan.isDirect() ? period : PERIOD_MILLIS, this::tell);
+        loop.runAtNextMultiple(plan.isDirect() ? period : PERIOD_MILLIS, this::tell);
     }
 
     private boolean isOther(Member member) {
