--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
@@ -139,7 +139,7 @@
      *
      * @return milliseconds
      */
-    public long lateMillis() {
+    public long lagMillis() {
         Long first = due.peek();
         long waitingNanos = first == null ? 0 : nowNanos() - first;
         return TimeUnit.NANOSECONDS.toMillis(Math.max(lateNanos, waitingNanos));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientsEdge.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientsEdge.java
@@ -185,7 +185,7 @@
      * final answers would come late by as much.
      */
     private long waitedNanos() {
-        return TimeUnit.MILLISECONDS.toNanos(Math.min(MOST_WAITED_MILLIS, loop.lateMillis()));
+        return TimeUnit.MILLISECONDS.toNanos(Math.min(MOST_WAITED_MILLIS, loop.lagMillis()));
     }
 
     /** Completes when the client's connection closes; a kept one doesn't go on listening for requests that have ended. */
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Turns.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Turns.java
@@ -37,7 +37,7 @@
     /** Completes when a request may go on: at once while the thread keeps up. */
     Mono<Void> next() {
         return Mono.defer(() -> {
-            boolean keepsUp = waiting.isEmpty() && loop.lateMillis() < BEHIND_MILLIS;
+            boolean keepsUp = waiting.isEmpty() && loop.lagMillis() < BEHIND_MILLIS;
             return keepsUp ? Mono.empty() : Mono.create(this::join);
         });
     }
