--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -35,7 +35,7 @@
     private final Map<String, EngineModel> models = new HashMap<>();
     private final RequestQuarantine quarantine = new RequestQuarantine();
     private final CachedPrefixes prefixes = new CachedPrefixes();
-    private final RepeatLimit limit;
+    private final RetryLimit limit;
     private AuditTrail audit;
     private volatile RoutingTable table;
     private volatile boolean workersKnown;
@@ -49,14 +49,14 @@
      * @param extra repeats in a window beside these, of all processes together
      * @param windowNanos the window's length
      */
-    public record RepeatLimit(double ratio, double extra, long windowNanos) {}
+    public record RetryLimit(double ratio, double extra, long windowNanos) {}
 
     /**
      * Makes a state that knows nothing.
      *
      * @param limit the bound on repeats
      */
-    public GatewayState(RepeatLimit limit) {
+    public GatewayState(RetryLimit limit) {
         this.limit = limit;
     }
 
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SelectionOfSuspectsTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SelectionOfSuspectsTest.java
@@ -34,7 +34,7 @@
             60,
             LatencyClass.START_SENSITIVE);
 
-    private final GatewayState state = new GatewayState(new GatewayState.RepeatLimit(0.2, 50, 10_000_000_000L));
+    private final GatewayState state = new GatewayState(new GatewayState.RetryLimit(0.2, 50, 10_000_000_000L));
     private final Selection selection = new Selection("dc-a", state, new Random(20261203));
 
     @BeforeEach
