--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -95,7 +95,7 @@
      *
      * @param next the table
      */
-    public void publish(RoutingTable next) {
+    public void activate(RoutingTable next) {
         long before = table == null ? 0 : table.number();
         if (next.number() <= before) {
             return;
