--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -111,7 +111,7 @@
      * @param entry the worker
      * @param nowNanos the time
      */
-    public void publish(WorkerEntry entry, long nowNanos) {
+    public void updateWorker(WorkerEntry entry, long nowNanos) {
         String before =
                 workers.find(entry.id()).map(known -> describe(known.entry())).orElse("");
         workers.published(entry, nowNanos);
