--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -125,7 +125,7 @@
      *
      * @param id its name
      */
-    public void gone(String id) {
+    public void removeWorker(String id) {
         workers.gone(id)
                 .ifPresent(entry -> audit.add(AuditEvent.Kind.UPSTREAM, id, "published", describe(entry), "gone"));
     }
