--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -137,7 +137,7 @@
      * @param evacuated whether its workers get nothing more
      * @param nowNanos the time
      */
-    public void evacuation(String dataCentre, boolean evacuated, long nowNanos) {
+    public void setEvacuated(String dataCentre, boolean evacuated, long nowNanos) {
         boolean changed = evacuated ? workers.evacuated(dataCentre) : workers.takenBack(dataCentre, nowNanos);
         if (changed) {
             String now = evacuated ? "evacuated" : "in use";
