--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -38,7 +38,7 @@
     private final RetryLimit limit;
     private AuditTrail audit;
     private volatile RoutingTable table;
-    private volatile boolean workersKnown;
+    private volatile boolean workersLoaded;
     private int processes = 1;
     private int reachable = 1;
 
@@ -146,8 +146,8 @@
     }
 
     /** Every published worker has been read once. */
-    public void workersKnown() {
-        workersKnown = true;
+    public void markWorkersLoaded() {
+        workersLoaded = true;
     }
 
     /**
@@ -156,7 +156,7 @@
      * @return true once a routing table and the workers are known
      */
     public boolean ready() {
-        return table != null && workersKnown;
+        return table != null && workersLoaded;
     }
 
     /**
