--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -155,7 +155,7 @@
      *
      * @return true once a routing table and the workers are known
      */
-    public boolean ready() {
+    public boolean isReady() {
         return table != null && workersLoaded;
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
@@ -55,7 +55,7 @@
      * @return true once it can serve, until its shutdown begins
      */
     public boolean selfReady() {
-        return state.ready() && !shutdown.begun();
+        return state.isReady() && !shutdown.begun();
     }
 
     /**
