--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -174,7 +174,7 @@
      * @param upstream its name
      * @return this process's part
      */
-    public WindowedRetryBudget budget(String upstream) {
+    public WindowedRetryBudget retryBudget(String upstream) {
         return budgets.computeIfAbsent(upstream, name -> {
             WindowedRetryBudget budget = new WindowedRetryBudget(limit.ratio(), limit.extra(), limit.windowNanos());
             budget.recordFleetSize(processes);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -96,7 +96,7 @@
      */
     public Mono<Reply> forward(Call call) {
         return Mono.defer(() -> {
-            state.budget(call.terms().upstream().name()).recordRequest(loop.nowNanos());
+            state.retryBudget(call.terms().upstream().name()).recordRequest(loop.nowNanos());
             selection.arrived(call, loop.nowNanos());
             return attempt(call, Optional.empty());
         });
@@ -251,7 +251,7 @@
     private boolean mayRepeat(Call call, long now) {
         return call.sends() < call.terms().route().maxAttempts()
                 && call.leftMillis(now) >= LEAST_LEFT_MILLIS
-                && state.budget(call.terms().upstream().name()).tryAcquire(now);
+                && state.retryBudget(call.terms().upstream().name()).tryAcquire(now);
     }
 
     private Flux<byte[]> relay(Call call, Placement placement, OpenAnswer open) {
