--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -188,7 +188,7 @@
      * @param upstream its name
      * @return its split
      */
-    public EnginePartition split(String upstream) {
+    public EnginePartition enginePartition(String upstream) {
         return splits.computeIfAbsent(upstream, name -> new EnginePartition());
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -341,7 +341,7 @@
             if (millis.length == LatencyClassWork.none().millis().length) {
                 boolean alone = scope == PeerLoads.Scope.OWN;
                 String speaker = scope == PeerLoads.Scope.OTHERS ? COLLECTOR : peer;
-                state.split(work.getUpstream()).recordPeerWork(speaker, alone, new LatencyClassWork(millis), now);
+                state.enginePartition(work.getUpstream()).recordPeerWork(speaker, alone, new LatencyClassWork(millis), now);
             }
         }
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -157,7 +157,7 @@
     }
 
     private EnginePartition split(Call call) {
-        return state.split(call.terms().upstream().name());
+        return state.enginePartition(call.terms().upstream().name());
     }
 
     private EngineModel model(Call call) {
