--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -31,7 +31,7 @@
 
     private final Workers workers = new Workers();
     private final Map<String, WindowedRetryBudget> budgets = new HashMap<>();
-    private final Map<String, EnginePartition> splits = new HashMap<>();
+    private final Map<String, EnginePartition> enginePartitions = new HashMap<>();
     private final Map<String, EngineModel> models = new HashMap<>();
     private final RequestQuarantine quarantine = new RequestQuarantine();
     private final CachedPrefixes prefixes = new CachedPrefixes();
@@ -189,7 +189,7 @@
      * @return its split
      */
     public EnginePartition enginePartition(String upstream) {
-        return splits.computeIfAbsent(upstream, name -> new EnginePartition());
+        return enginePartitions.computeIfAbsent(upstream, name -> new EnginePartition());
     }
 
     /**
@@ -272,12 +272,12 @@
     }
 
     /**
-     * The splits of all upstreams that had requests.
+     * The enginePartitions of all upstreams that had requests.
      *
      * @return by the upstream's name
      */
-    public Map<String, EnginePartition> splits() {
-        return splits;
+    public Map<String, EnginePartition> enginePartitions() {
+        return enginePartitions;
     }
 
     /**
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -281,7 +281,7 @@
             report.setLimits(LimitNoticeCodec.encode(notices.limits()));
         }
         places.forEach(place -> report.addParts(place.part()).addPartWorkers(place.worker()));
-        state.splits().forEach((upstream, split) -> {
+        state.enginePartitions().forEach((upstream, split) -> {
             LatencyClassWork work =
                     switch (kind) {
                         case GATHERED -> split.reportersWork();
