--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -198,7 +198,7 @@
      * @param upstream its name
      * @return its model
      */
-    public EngineModel model(String upstream) {
+    public EngineModel engineModel(String upstream) {
         return models.computeIfAbsent(upstream, name -> new EngineModel());
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -111,7 +111,7 @@
 
     private void join(UpstreamQueue<Entry> line, Entry entry) {
         Call.Terms terms = entry.call.terms();
-        double lead = state.model(terms.upstream().name()).leadTimeMillis();
+        double lead = state.engineModel(terms.upstream().name()).leadTimeMillis();
         long onTime = terms.arrivalNanos() + nanos(terms.route().targetMillis() - lead);
         long inTime = terms.deadlineNanos() - nanos(Selection.usualMillis(entry.call));
         line.add(new PendingRequest<>(entry, terms.priority(), terms.customer(), terms.arrivalNanos(), onTime, inTime));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -273,7 +273,7 @@
     }
 
     private void observe(Call call) {
-        EngineModel model = state.model(call.terms().upstream().name());
+        EngineModel model = state.engineModel(call.terms().upstream().name());
         if (call.events() > 1) {
             model.recordEventGap(call.lastPauseMillis(), call.terms().upstream().tokensPerEvent());
         } else if (EngineLines.patient(call)) {
@@ -286,7 +286,7 @@
         broken.finished(call);
         if (EngineLines.patient(call)) {
             int tokens = call.events() * call.terms().upstream().tokensPerEvent();
-            state.model(call.terms().upstream().name()).recordCompletion(tokens);
+            state.engineModel(call.terms().upstream().name()).recordCompletion(tokens);
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -77,7 +77,7 @@
     }
 
     private int mostStreams(Call call) {
-        return state.model(call.terms().upstream().name()).maxStreamsWithin(usualMillis(call));
+        return state.engineModel(call.terms().upstream().name()).maxStreamsWithin(usualMillis(call));
     }
 
     /** Places that are free at the upstream's engines for calls like this one, whoever takes them. */
@@ -161,6 +161,6 @@
     }
 
     private EngineModel model(Call call) {
-        return state.model(call.terms().upstream().name());
+        return state.engineModel(call.terms().upstream().name());
     }
 }
