--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -34,7 +34,7 @@
     private final Map<String, EnginePartition> enginePartitions = new HashMap<>();
     private final Map<String, EngineModel> models = new HashMap<>();
     private final RequestQuarantine quarantine = new RequestQuarantine();
-    private final CachedPrefixes prefixes = new CachedPrefixes();
+    private final CachedPrefixes cachedPrefixes = new CachedPrefixes();
     private final RetryLimit limit;
     private AuditTrail audit;
     private volatile RoutingTable table;
@@ -207,8 +207,8 @@
      *
      * @return the parts of all upstreams
      */
-    public CachedPrefixes prefixes() {
-        return prefixes;
+    public CachedPrefixes cachedPrefixes() {
+        return cachedPrefixes;
     }
 
     /**
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -182,7 +182,7 @@
     /** A small fleet: everybody tells everybody. */
     private void tellAll(long now) {
         Map<Integer, PeerLoads.Load> own = state.workers().own(now);
-        List<CachedPrefixes.PartLocation> places = state.prefixes().drainUnreported();
+        List<CachedPrefixes.PartLocation> places = state.cachedPrefixes().drainUnreported();
         if (!due(ALL, own, places, now)) {
             return;
         }
@@ -208,7 +208,7 @@
 
     private void tellByPlan(long now) {
         reporters.values().removeIf(heard -> now - heard > SILENT_MILLIS * NANOS_PER_MILLI);
-        List<CachedPrefixes.PartLocation> places = state.prefixes().drainUnreported();
+        List<CachedPrefixes.PartLocation> places = state.cachedPrefixes().drainUnreported();
         Optional<String> to = plan.collector(avoided(now));
         if (to.isPresent()) {
             Map<Integer, PeerLoads.Load> own = state.workers().own(now);
@@ -352,7 +352,7 @@
         for (int i = 0; i < count; i++) {
             CachedPrefixes.PartLocation place =
                     new CachedPrefixes.PartLocation(report.getParts(i), report.getPartWorkers(i));
-            state.prefixes().recordPeerReport(place, now);
+            state.cachedPrefixes().recordPeerReport(place, now);
             if (!direct && scope == PeerLoads.Scope.OWN) {
                 reportedPlaces.add(place);
             } else if (!direct && scope == PeerLoads.Scope.GATHERED) {
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -101,7 +101,7 @@
         }
         Call.Terms terms = call.terms();
         EngineSelector selector = new EngineSelector(
-                dataCentre, state.prefixes(), split(call), terms.upstream().transfer(), random);
+                dataCentre, state.cachedPrefixes(), split(call), terms.upstream().transfer(), random);
         SelectionResult choice = selector.choose(prompt.get(), candidates, mostStreams, nowNanos);
         if (choice instanceof SelectionResult.Selected engine) {
             return state.workers()
@@ -144,7 +144,7 @@
         Prompt prompt = call.terms().prompt().orElseThrow();
         call.sending(worker.entry().id(), nowNanos);
         double prefill = prompt.prefillMillis(engine.cachedTokens());
-        state.prefixes().recordSent(prompt, worker.entry().incarnation(), nowNanos);
+        state.cachedPrefixes().recordSent(prompt, worker.entry().incarnation(), nowNanos);
         if (prompt.latencyClass() == LatencyClass.DELAY_TOLERANT) {
             model(call).recordDispatch(prefill, prompt.outputTokens());
         }
