--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -226,7 +226,7 @@
      * @param notice what happened
      * @param nowNanos the time
      */
-    public void learn(CrashNotice notice, long nowNanos) {
+    public void applyCrashNotice(CrashNotice notice, long nowNanos) {
         if (quarantine.applyNotice(notice, nowNanos)) {
             audit.add(AuditEvent.Kind.QUARANTINE, notice.request().toString(), "workers crashed under it", "", "held");
         }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -317,7 +317,7 @@
             collectorNanos = now;
         }
         state.workers().peerLoad(peer, scope, loads, now);
-        told.crashes().forEach(crash -> state.learn(crash, now));
+        told.crashes().forEach(crash -> state.applyCrashNotice(crash, now));
         told.limits().forEach(limit -> state.learn(limit, peer, now));
         work(peer, scope, report, now);
         places(scope, report, now);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/BrokenAttempts.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/BrokenAttempts.java
@@ -56,7 +56,7 @@
     /** A request came to its end at a worker. */
     void finished(Call call) {
         if (!quarantine.isEmpty()) {
-            state.learn(new CrashNotice(call.fingerprint(), Ending.FINISHED, 0, 0, 0), loop.nowNanos());
+            state.applyCrashNotice(new CrashNotice(call.fingerprint(), Ending.FINISHED, 0, 0, 0), loop.nowNanos());
         }
     }
 
@@ -67,7 +67,7 @@
             Ending ending = found.events() == 0 ? Ending.CRASHED_BEFORE_OUTPUT : Ending.CRASHED_DURING_OUTPUT;
             CrashNotice notice = new CrashNotice(
                     found.call().fingerprint(), ending, found.worker().incarnation(), Math.round(found.millis()), 0);
-            state.learn(notice, loop.nowNanos());
+            state.applyCrashNotice(notice, loop.nowNanos());
         }
     }
 
