--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -256,7 +256,7 @@
      * @param peer the peer's name
      * @param nowNanos the time
      */
-    public void learn(LimitNotice notice, String peer, long nowNanos) {
+    public void applyLimitNotice(LimitNotice notice, String peer, long nowNanos) {
         workers.started(notice.worker()).ifPresent(worker -> {
             WorkerLimits limits = workers.limits();
             String before = describe(limits.limit(notice.worker()));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -318,7 +318,7 @@
         }
         state.workers().peerLoad(peer, scope, loads, now);
         told.crashes().forEach(crash -> state.applyCrashNotice(crash, now));
-        told.limits().forEach(limit -> state.learn(limit, peer, now));
+        told.limits().forEach(limit -> state.applyLimitNotice(limit, peer, now));
         work(peer, scope, report, now);
         places(scope, report, now);
         followers(report, now);
