--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -239,7 +239,7 @@
      * @param perSecond requests a second from all processes together, empty if it named no limit
      * @param nowNanos the time
      */
-    public void limited(WorkerEntry worker, OptionalDouble perSecond, long nowNanos) {
+    public void recordWorkerLimit(WorkerEntry worker, OptionalDouble perSecond, long nowNanos) {
         WorkerLimits limits = workers.limits();
         String before = describe(limits.limit(worker.incarnation()));
         boolean published = workers.started(worker.incarnation()).isPresent();
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -172,7 +172,7 @@
         OptionalDouble named = dialect.requestsPerSecond(open.headers());
         boolean whole = dialect.marked(open.headers()) && open.status() / 100 == 2;
         if (check.answers(call, open.headers()) && (named.isPresent() || whole)) {
-            state.limited(placement.entry(), named, loop.nowNanos());
+            state.recordWorkerLimit(placement.entry(), named, loop.nowNanos());
         }
     }
 
