--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -285,7 +285,7 @@
      *
      * @param count processes, this one included
      */
-    public void processes(int count) {
+    public void updateFleetSize(int count) {
         reachable = count;
         processes = Math.max(processes, count);
         budgets.values().forEach(budget -> budget.recordFleetSize(count));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -163,7 +163,7 @@
             state.quarantine().scheduleReminders();
             state.workers().limits().scheduleReminders();
         }
-        state.processes(others.size() + 1);
+        state.updateFleetSize(others.size() + 1);
         notices = new Notices(
                 state.quarantine().takeNotices(now), state.workers().limits().takeNotices(now));
         if (plan.isDirect()) {
