--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -40,7 +40,7 @@
     private volatile RoutingTable table;
     private volatile boolean workersLoaded;
     private int processes = 1;
-    private int reachable = 1;
+    private int reachableProcesses = 1;
 
     /**
      * The fleet's bound on repeats to one upstream.
@@ -286,7 +286,7 @@
      * @param count processes, this one included
      */
     public void updateFleetSize(int count) {
-        reachable = count;
+        reachableProcesses = count;
         processes = Math.max(processes, count);
         budgets.values().forEach(budget -> budget.recordFleetSize(count));
     }
@@ -296,8 +296,8 @@
      *
      * @return the count
      */
-    public int reachable() {
-        return reachable;
+    public int reachableProcesses() {
+        return reachableProcesses;
     }
 
     private static String describe(WorkerEntry entry) {
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineLines.java
@@ -156,7 +156,7 @@
 
     /** All processes see the same free places; each takes its part of them, by chance where that is less than one. */
     private int partOfRoom(Call call, long now) {
-        double part = selection.room(call, now) / (double) Math.max(1, state.reachable());
+        double part = selection.room(call, now) / (double) Math.max(1, state.reachableProcesses());
         int whole = (int) part;
         return whole + (random.nextDouble() < part - whole ? 1 : 0);
     }
