--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
@@ -54,7 +54,7 @@
      *
      * @return true once it can serve, until its shutdown begins
      */
-    public boolean selfReady() {
+    public boolean isSelfReady() {
         return state.isReady() && !shutdown.begun();
     }
 
@@ -68,7 +68,7 @@
         List<Member> suspects = new ArrayList<>();
         for (Member member : peers.view()) {
             boolean self = member.name().equals(peers.self());
-            if (self ? !selfReady() : !serves(member)) {
+            if (self ? !isSelfReady() : !serves(member)) {
                 continue;
             }
             (self || member.state() == MemberState.ALIVE ? serving : suspects).add(member);
