--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
@@ -63,7 +63,7 @@
      *
      * @return IP numbers and ports; empty if none is known
      */
-    public List<String> usable() {
+    public List<String> usableAddresses() {
         List<Member> serving = new ArrayList<>();
         List<Member> suspects = new ArrayList<>();
         for (Member member : peers.view()) {
