--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
@@ -82,7 +82,7 @@
             return refused(new OwnAnswer(NOT_FOUND, "no route", 0));
         }
         Optional<Customer> customer = table.customer(dialect.key(headers));
-        if (table.keyed() && !route.get().anonymous() && customer.isEmpty()) {
+        if (table.requiresKey() && !route.get().anonymous() && customer.isEmpty()) {
             return refused(new OwnAnswer(UNAUTHORIZED, "unknown key", 0));
         }
         return new Verdict.Admitted(terms(table, route.get(), customer, headers, id, arrivalNanos));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RoutingTable.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RoutingTable.java
@@ -18,7 +18,7 @@
     private final Map<String, UpstreamSpec> upstreams = new HashMap<>();
     private final Map<String, Customer> customersByKey;
     private final UrgencyLevels urgency;
-    private final boolean keyed;
+    private final boolean requiresKey;
     private final RequestLimits limits;
 
     private RoutingTable(Builder builder) {
@@ -35,7 +35,7 @@
         builder.upstreams.forEach(upstream -> upstreams.put(upstream.name(), upstream));
         customersByKey = Map.copyOf(builder.customersByKey);
         urgency = new UrgencyLevels(builder.routes, builder.customersByKey.values());
-        keyed = builder.keyed;
+        requiresKey = builder.requiresKey;
         limits = builder.limits;
     }
 
@@ -106,8 +106,8 @@
      *
      * @return true if customers were published
      */
-    public boolean keyed() {
-        return keyed;
+    public boolean requiresKey() {
+        return requiresKey;
     }
 
     /**
@@ -151,7 +151,7 @@
         private final List<Route> routes = new ArrayList<>();
         private final List<UpstreamSpec> upstreams = new ArrayList<>();
         private final Map<String, Customer> customersByKey = new HashMap<>();
-        private boolean keyed;
+        private boolean requiresKey;
         private RequestLimits limits = DEFAULT_LIMITS;
 
         private Builder(long number) {
@@ -188,7 +188,7 @@
          * @return this builder
          */
         public Builder customer(Customer customer, List<String> keys) {
-            keyed = true;
+            requiresKey = true;
             keys.forEach(key -> customersByKey.put(key, customer));
             return this;
         }
@@ -199,7 +199,7 @@
          * @return this builder
          */
         public Builder requireKeys() {
-            keyed = true;
+            requiresKey = true;
             return this;
         }
 
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/routing/RoutingTableTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/routing/RoutingTableTest.java
@@ -32,7 +32,7 @@
 
     @Test
     void aKeyFindsItsCustomer() {
-        assertThat(table.keyed()).isTrue();
+        assertThat(table.requiresKey()).isTrue();
         assertThat(table.customer("key-2").orElseThrow().name()).isEqualTo("school");
         assertThat(table.customer("")).isEmpty();
     }
