--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RoutingTable.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RoutingTable.java
@@ -75,7 +75,7 @@
      * @return the route; empty if there is none
      */
     public Optional<Route> route(String hostHeader, String path) {
-        List<Route> routes = routesByHost.getOrDefault(host(hostHeader), List.of());
+        List<Route> routes = routesByHost.getOrDefault(normalizeHost(hostHeader), List.of());
         return routes.stream()
                 .filter(route -> path.startsWith(route.pathPrefix()))
                 .findFirst();
@@ -137,7 +137,7 @@
      * @param header the host as a client sends it
      * @return lower case, without a port
      */
-    public static String host(String header) {
+    public static String normalizeHost(String header) {
         int colon = header.lastIndexOf(':');
         boolean port = colon > header.lastIndexOf(']');
         return (port && colon >= 0 ? header.substring(0, colon) : header).toLowerCase(Locale.ROOT);
