--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -204,7 +204,7 @@
         Mono<Void> followed = broken.broke(call, placement.entry(), error.getMessage());
         Mono<Reply> decided =
                 Mono.defer(() -> decide(call, placement, new AttemptResult.Unknown(error.getMessage()), earlier));
-        return call.terms().route().repeatable() ? followed.then(decided) : decided;
+        return call.terms().route().isRetryable() ? followed.then(decided) : decided;
     }
 
     private Mono<Reply> decide(Call call, Placement placement, AttemptResult result, Optional<WholeAnswer> earlier) {
@@ -227,7 +227,7 @@
         }
         call.mayHaveRun();
         AttemptResult.Unknown unknown = (AttemptResult.Unknown) result;
-        if (call.terms().route().repeatable() && mayRepeat(call, now)) {
+        if (call.terms().route().isRetryable() && mayRepeat(call, now)) {
             return attempt(call, earlier);
         }
         return Mono.just(last(call, earlier, unknown.reason()));
@@ -242,7 +242,7 @@
         }
         placement.failedByAnswer(now);
         call.mayHaveRun();
-        if (call.terms().route().repeatable() && mayRepeat(call, now)) {
+        if (call.terms().route().isRetryable() && mayRepeat(call, now)) {
             return attempt(call, Optional.of(answer));
         }
         return Mono.just(whole(answer));
@@ -294,7 +294,7 @@
     private Flux<byte[]> resume(Call call, Placement placement, SendFailure error) {
         placement.failed(loop.nowNanos());
         Mono<Void> followed = broken.broke(call, placement.entry(), error.getMessage());
-        if (!call.terms().route().repeatable()) {
+        if (!call.terms().route().isRetryable()) {
             return Flux.error(error);
         }
         return followed.thenMany(Flux.defer(() -> goOn(call, error)));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Route.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Route.java
@@ -45,7 +45,7 @@
      *
      * @return true for idempotent requests and streams that may be resumed
      */
-    public boolean repeatable() {
+    public boolean isRetryable() {
         return kind == RequestKind.IDEMPOTENT || streaming() && resumable;
     }
 
