--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RequestLog.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RequestLog.java
@@ -51,7 +51,7 @@
             MDC.put("sends", Integer.toString(call.sends()));
             MDC.put("waitedMillis", Long.toString(call.waitedMillis()));
             MDC.put("urgency", Integer.toString(call.terms().priority()));
-            if (call.terms().route().streaming()) {
+            if (call.terms().route().isStreaming()) {
                 MDC.put("firstEventMillis", Long.toString(call.firstEventMillis()));
                 MDC.put("longestPauseMillis", Long.toString(call.longestPauseMillis()));
                 call.terms().prompt().ifPresent(prompt -> MDC.put("prompt", Integer.toString(prompt.promptTokens())));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AnswerCheck.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AnswerCheck.java
@@ -23,7 +23,7 @@
 
     /** Whether an answer is a stream that can be passed on as it comes. */
     boolean passable(Call call, OpenAnswer open) {
-        return call.terms().route().streaming()
+        return call.terms().route().isStreaming()
                 && own(call, open)
                 && open.status() / 100 == 2
                 && !encoded(open.headers());
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Route.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Route.java
@@ -46,7 +46,7 @@
      * @return true for idempotent requests and streams that may be resumed
      */
     public boolean isRetryable() {
-        return kind == RequestKind.IDEMPOTENT || streaming() && resumable;
+        return kind == RequestKind.IDEMPOTENT || isStreaming() && resumable;
     }
 
     /**
@@ -54,7 +54,7 @@
      *
      * @return true for streams
      */
-    public boolean streaming() {
+    public boolean isStreaming() {
         return kind == RequestKind.STREAMING;
     }
 
