--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -114,7 +114,7 @@
     public void updateWorker(WorkerEntry entry, long nowNanos) {
         String before =
                 workers.find(entry.id()).map(known -> describe(known.entry())).orElse("");
-        workers.published(entry, nowNanos);
+        workers.addOrUpdate(entry, nowNanos);
         if (!before.equals(describe(entry))) {
             audit.add(AuditEvent.Kind.UPSTREAM, entry.id(), "published", before, describe(entry));
         }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
@@ -55,7 +55,7 @@
      * @param entry the worker
      * @param nowNanos the time
      */
-    public void published(WorkerEntry entry, long nowNanos) {
+    public void addOrUpdate(WorkerEntry entry, long nowNanos) {
         WorkerState known = byId.get(entry.id());
         if (known != null && entry.startMillis() < known.entry().startMillis()) {
             return;
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SelectionOfSuspectsTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SelectionOfSuspectsTest.java
@@ -41,7 +41,7 @@
     void startEngines() {
         for (int i = 0; i < ENGINES; i++) {
             WorkerEntry entry = new WorkerEntry("e-" + i, 0, "llm", "10.0.0." + i, 80, "dc-a", 16, false, 0);
-            state.workers().published(entry, NOW);
+            state.workers().addOrUpdate(entry, NOW);
         }
     }
 
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
@@ -204,7 +204,7 @@
     }
 
     private void publish(WorkerEntry entry) {
-        workers.published(entry, SECOND);
+        workers.addOrUpdate(entry, SECOND);
     }
 
     private void publishFour() {
