--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -126,7 +126,7 @@
      * @param id its name
      */
     public void removeWorker(String id) {
-        workers.gone(id)
+        workers.remove(id)
                 .ifPresent(entry -> audit.add(AuditEvent.Kind.UPSTREAM, id, "published", describe(entry), "gone"));
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
@@ -127,7 +127,7 @@
      * @param id its name
      * @return what was known of it
      */
-    public Optional<WorkerEntry> gone(String id) {
+    public Optional<WorkerEntry> remove(String id) {
         holdersKnown = false;
         WorkerState gone = byId.remove(id);
         ended(gone);
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
@@ -24,7 +24,7 @@
         assertThat(ids()).containsExactly("new");
         publish(entry("old", 1, true));
         assertThat(ids()).containsExactly("new");
-        workers.gone("old");
+        workers.remove("old");
         assertThat(ids()).containsExactly("new");
     }
 
