--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -118,7 +118,7 @@
         String upstream = call.terms().upstream().name();
         if (call.suspect()) {
             Set<String> except = new HashSet<>(call.tried());
-            except.addAll(workers.withSuspects());
+            except.addAll(workers.withSuspectRequests());
             List<WorkerLoad> apart = workers.candidates(upstream, except, nowNanos);
             if (!apart.isEmpty()) {
                 return apart;
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
@@ -226,7 +226,7 @@
      *
      * @return their names
      */
-    public List<String> withSuspects() {
+    public List<String> withSuspectRequests() {
         return byId.values().stream()
                 .filter(WorkerState::hasSuspects)
                 .map(worker -> worker.entry().id())
