--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -130,7 +130,7 @@
     private Placement place(Call call, WorkerState worker, boolean interactive, double prefill, long nowNanos) {
         Placement placement = state.workers().place(worker, interactive, prefill, nowNanos);
         if (call.suspect()) {
-            placement.suspect();
+            placement.markSuspect();
         }
         return placement;
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -26,7 +26,7 @@
     }
 
     /** A worker crashed under this request before. */
-    public void suspect() {
+    public void markSuspect() {
         if (!suspect) {
             suspect = true;
             worker.suspectBegan();
