--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -259,7 +259,7 @@
         return open.body()
                 .concatMapIterable(framer::take)
                 .doOnNext(event -> {
-                    placement.started();
+                    placement.recordFirstEvent();
                     call.event(event.id(), loop.nowNanos());
                     observe(call);
                 })
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -34,7 +34,7 @@
     }
 
     /** The prompt has been read: the first event is here. */
-    public void started() {
+    public void recordFirstEvent() {
         if (!started) {
             started = true;
             worker.prefilled(prefillMillis);
@@ -44,7 +44,7 @@
     /** The request is no longer there. */
     public void ended() {
         if (!ended) {
-            started();
+            recordFirstEvent();
             ended = true;
             worker.end(interactive);
             if (suspect) {
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
@@ -191,8 +191,8 @@
         WorkerState worker = workers.find("a").orElseThrow();
         Placement placement = workers.place(worker, true, 50, SECOND);
         assertThat(workers.own(0)).containsEntry("a".hashCode(), new PeerLoads.Load(1, 1, 50, 0, 0));
-        placement.started();
-        placement.started();
+        placement.recordFirstEvent();
+        placement.recordFirstEvent();
         assertThat(workers.own(0)).containsEntry("a".hashCode(), new PeerLoads.Load(1, 1, 0, 0, 0));
         placement.ended();
         placement.ended();
