--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -137,7 +137,7 @@
         }
         Placement placement = placed.placement();
         if (broken.verdict(call) instanceof Verdict.Quarantined held) {
-            placement.ended();
+            placement.end();
             return Mono.just(quarantined(call, earlier, held));
         }
         long now = loop.nowNanos();
@@ -145,14 +145,14 @@
                 .timeout(Duration.ofMillis(call.leftMillis(now) + DEADLINE_GRACE_MILLIS), loop.scheduler())
                 .onErrorResume(TimeoutException.class, error -> Mono.just(timedOut(call, placement)))
                 .onErrorResume(SendFailure.class, error -> failed(call, placement, error, earlier))
-                .doOnCancel(placement::ended);
+                .doOnCancel(placement::end);
     }
 
     private Mono<Reply> send(Call call, Selection.Outcome.Placed placed) {
         Placement placement = placed.placement();
         return client.send(placement.entry(), call.method(), call.uri(), workerHeaders(call, placed), call.body())
                 .flatMap(open -> answered(call, placement, open))
-                .doOnError(error -> placement.ended());
+                .doOnError(error -> placement.end());
     }
 
     private Mono<Reply> answered(Call call, Placement placement, OpenAnswer open) {
@@ -162,7 +162,7 @@
             return Mono.just(new Reply.Stream(open.status(), open.headers(), events));
         }
         return collect(open)
-                .doFinally(signal -> placement.ended())
+                .doFinally(signal -> placement.end())
                 .doOnNext(answer -> closeUnlessOwn(call, open))
                 .flatMap(answer -> decide(call, placement, check.classify(call, answer), Optional.empty()));
     }
@@ -268,7 +268,7 @@
                         ? Mono.empty()
                         : Mono.error(new SendFailure(true, new IllegalStateException("ended inside an event")))))
                 .doOnComplete(() -> ended(call, placement))
-                .doFinally(signal -> placement.ended())
+                .doFinally(signal -> placement.end())
                 .onErrorResume(SendFailure.class, error -> resume(call, placement, error));
     }
 
@@ -329,7 +329,7 @@
 
     /** The time is up while a worker has the request: it may be running still. */
     private Reply timedOut(Call call, Placement placement) {
-        placement.ended();
+        placement.end();
         placement.failed(loop.nowNanos());
         call.mayHaveRun();
         return new Reply.Own(new OwnAnswer(OwnAnswer.GATEWAY_TIMEOUT, "timeout", 0));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -42,7 +42,7 @@
     }
 
     /** The request is no longer there. */
-    public void ended() {
+    public void end() {
         if (!ended) {
             recordFirstEvent();
             ended = true;
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -86,7 +86,7 @@
         assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
         Placement placement = process.place(process.find("w").orElseThrow(), false, 0, 5 * SECOND);
         placement.notReached(5 * SECOND);
-        placement.ended();
+        placement.end();
         assertThat(state(process, 7 * SECOND)).isEqualTo(SendPermission.RATE_LIMITED);
         assertThat(state(process, 8 * SECOND + MILLI)).isEqualTo(SendPermission.UNLIMITED);
     }
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
@@ -71,7 +71,7 @@
         assertThat(load.suspected()).isFalse();
 
         placement.failed(SECOND);
-        placement.ended();
+        placement.end();
         load = workers.candidates("u", Set.of(), SECOND).get(0);
         assertThat(load.inFlight()).isZero();
         assertThat(load.suspected()).isFalse();
@@ -194,8 +194,8 @@
         placement.recordFirstEvent();
         placement.recordFirstEvent();
         assertThat(workers.own(0)).containsEntry("a".hashCode(), new PeerLoads.Load(1, 1, 0, 0, 0));
-        placement.ended();
-        placement.ended();
+        placement.end();
+        placement.end();
         assertThat(workers.own(0)).isEmpty();
     }
 
