--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -236,7 +236,7 @@
     /** A failure that an idempotent request may outlive is tried elsewhere; if that fails too, this answer stands. */
     private Mono<Reply> answered(Call call, Placement placement, WholeAnswer answer, long now) {
         if (!answer.failed()) {
-            placement.succeeded(now);
+            placement.recordSuccess(now);
             broken.finished(call);
             return Mono.just(whole(answer));
         }
@@ -282,7 +282,7 @@
     }
 
     private void ended(Call call, Placement placement) {
-        placement.succeeded(loop.nowNanos());
+        placement.recordSuccess(loop.nowNanos());
         broken.finished(call);
         if (EngineLines.patient(call)) {
             int tokens = call.events() * call.terms().upstream().tokensPerEvent();
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -58,7 +58,7 @@
      *
      * @param nowNanos the time
      */
-    public void succeeded(long nowNanos) {
+    public void recordSuccess(long nowNanos) {
         worker.trust().recordSuccess(nowNanos);
         worker.outcomes().recordSuccess(nowNanos);
     }
