--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -216,7 +216,7 @@
             if (notRun.reached()) {
                 placement.refused(now);
             } else {
-                placement.notReached(now);
+                placement.recordConnectFailure(now);
             }
         } else {
             placement.failed(now);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -68,7 +68,7 @@
      *
      * @param nowNanos the time
      */
-    public void notReached(long nowNanos) {
+    public void recordConnectFailure(long nowNanos) {
         worker.coldPeriod().assumeRestarted(nowNanos);
         worker.trust().recordConnectFailure(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -85,7 +85,7 @@
         Workers process = fleet.get(0);
         assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
         Placement placement = process.place(process.find("w").orElseThrow(), false, 0, 5 * SECOND);
-        placement.notReached(5 * SECOND);
+        placement.recordConnectFailure(5 * SECOND);
         placement.end();
         assertThat(state(process, 7 * SECOND)).isEqualTo(SendPermission.RATE_LIMITED);
         assertThat(state(process, 8 * SECOND + MILLI)).isEqualTo(SendPermission.UNLIMITED);
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
@@ -56,7 +56,7 @@
         publish(started("a", 1_000, "u"));
         WorkerState before = workers.find("a").orElseThrow();
         Placement placement = workers.place(before, true, 50, SECOND);
-        placement.notReached(SECOND);
+        placement.recordConnectFailure(SECOND);
         int incarnation = before.incarnation();
         workers.peerLoad("p1", PeerLoads.Scope.OWN, Map.of(incarnation, new PeerLoads.Load(2, 1, 30, 0, 9)), SECOND);
         WorkerLoad load = workers.candidates("u", Set.of(), SECOND).get(0);
