--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -240,7 +240,7 @@
             broken.finished(call);
             return Mono.just(whole(answer));
         }
-        placement.failedByAnswer(now);
+        placement.recordErrorResponse(now);
         call.mayHaveRun();
         if (call.terms().route().isRetryable() && mayRepeat(call, now)) {
             return attempt(call, Optional.of(answer));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -79,7 +79,7 @@
      *
      * @param nowNanos the time
      */
-    public void failedByAnswer(long nowNanos) {
+    public void recordErrorResponse(long nowNanos) {
         worker.trust().recordErrorResponse(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
     }
