--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -214,7 +214,7 @@
         }
         if (result instanceof AttemptResult.NotRun notRun) {
             if (notRun.reached()) {
-                placement.refused(now);
+                placement.recordRejection(now);
             } else {
                 placement.recordConnectFailure(now);
             }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -90,7 +90,7 @@
      *
      * @param nowNanos the time
      */
-    public void refused(long nowNanos) {
+    public void recordRejection(long nowNanos) {
         worker.trust().recordFailure(nowNanos);
     }
 
