--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -219,7 +219,7 @@
                 placement.recordConnectFailure(now);
             }
         } else {
-            placement.failed(now);
+            placement.recordFailure(now);
         }
         if (result instanceof AttemptResult.NotRun notRun) {
             boolean again = notRun.reached() ? mayRepeat(call, now) : call.connectFailures() < MOST_CONNECT_FAILURES;
@@ -292,7 +292,7 @@
 
     /** Goes on after the last whole event at another worker; the broken connection has stopped the first one. */
     private Flux<byte[]> resume(Call call, Placement placement, SendFailure error) {
-        placement.failed(loop.nowNanos());
+        placement.recordFailure(loop.nowNanos());
         Mono<Void> followed = broken.broke(call, placement.entry(), error.getMessage());
         if (!call.terms().route().isRetryable()) {
             return Flux.error(error);
@@ -330,7 +330,7 @@
     /** The time is up while a worker has the request: it may be running still. */
     private Reply timedOut(Call call, Placement placement) {
         placement.end();
-        placement.failed(loop.nowNanos());
+        placement.recordFailure(loop.nowNanos());
         call.mayHaveRun();
         return new Reply.Own(new OwnAnswer(OwnAnswer.GATEWAY_TIMEOUT, "timeout", 0));
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -99,7 +99,7 @@
      *
      * @param nowNanos the time
      */
-    public void failed(long nowNanos) {
+    public void recordFailure(long nowNanos) {
         worker.coldPeriod().assumeRestarted(nowNanos);
         worker.trust().recordFailure(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
@@ -70,7 +70,7 @@
         assertThat(load.prefillMillis()).isZero();
         assertThat(load.suspected()).isFalse();
 
-        placement.failed(SECOND);
+        placement.recordFailure(SECOND);
         placement.end();
         load = workers.candidates("u", Set.of(), SECOND).get(0);
         assertThat(load.inFlight()).isZero();
