--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -124,7 +124,7 @@
     }
 
     /** The store answers again after it did not. */
-    public void storeBack() {
+    public void recordStoreRecovery() {
         hold(HOLD_MILLIS);
     }
 
@@ -187,7 +187,7 @@
         StorePosition before = items.position();
         boolean known = before.revision() > 0;
         if (known && at.era() > before.era()) {
-            storeBack();
+            recordStoreRecovery();
         }
         List<PublishedItem> news = state(state, at);
         if (known && !news.isEmpty()) {
