--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -156,7 +156,7 @@
      * @param after the position that they follow, one that was known
      * @param upTo the position up to which they are complete
      */
-    public void changes(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
+    public void applyStoreChanges(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
         apply(items.merge(changes, after, upTo));
         if (!changes.isEmpty()) {
             readListener.read(changes, after, upTo);
