--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
@@ -177,7 +177,7 @@
         if (items.hasAfter()) {
             boolean ahead = position.isAfter(publications.position());
             StorePosition after = new StorePosition(items.getAfterEra(), items.getAfter());
-            boolean news = publications.relayed(published, after, position);
+            boolean news = publications.applyRelayedChanges(published, after, position);
             if ((news || ahead) && far(peer) && plan().isRelay()) {
                 sendNear(body);
             }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -171,7 +171,7 @@
      * @param upTo the position up to which they are complete
      * @return whether any of them was new
      */
-    public boolean relayed(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
+    public boolean applyRelayedChanges(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
         List<ItemChange> news = items.merge(changes, after, upTo);
         apply(news);
         return !news.isEmpty();
