--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -183,7 +183,7 @@
      * @param state all items
      * @param at its position
      */
-    public void read(List<PublishedItem> state, StorePosition at) {
+    public void applyStoreSnapshot(List<PublishedItem> state, StorePosition at) {
         StorePosition before = items.position();
         boolean known = before.revision() > 0;
         if (known && at.era() > before.era()) {
