--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -24,7 +24,7 @@
 import org.dotterelcourse.gateway.GatewayState;
 import org.dotterelcourse.gateway.fleet.generated.FleetProtos;
 import org.dotterelcourse.gateway.published.Publications;
-import org.dotterelcourse.gateway.published.StoreDuty;
+import org.dotterelcourse.gateway.published.StoreFollowerElection;
 import org.dotterelcourse.gateway.published.StorePosition;
 import org.dotterelcourse.gateway.workers.PeerLoads;
 import org.dotterelcourse.policy.quarantine.CrashNotice;
@@ -151,7 +151,7 @@
             planned = view;
             plan = CollectorPlan.of(peers.self(), view);
             publications
-                    .duty()
+                    .followerElection()
                     .order(
                             id(peers.self()),
                             plan.readerCandidates().stream()
@@ -198,7 +198,7 @@
                 || !places.isEmpty()
                 || !notices.isEmpty()
                 || now - last.atNanos() >= UNCHANGED_PERIOD_MILLIS * NANOS_PER_MILLI
-                || publications.duty().newsSince(last.atNanos())
+                || publications.followerElection().newsSince(last.atNanos())
                 || !loads.equals(last.loads());
         if (due) {
             lastTold.put(receiver, new Told(loads, now));
@@ -269,7 +269,7 @@
                 .setRevision(publications.position().revision())
                 .setEra(publications.position().era())
                 .setWorkers(LoadCodec.encode(loads));
-        for (StoreDuty.Follower follower : publications.duty().followers(now)) {
+        for (StoreFollowerElection.Follower follower : publications.followerElection().followers(now)) {
             report.addFollowers(follower.id())
                     .addFollowerAnswers(follower.answer())
                     .addFollowerMillis((int) follower.ageMillis());
@@ -366,9 +366,9 @@
                 report.getFollowersCount(),
                 Math.min(report.getFollowerAnswersCount(), report.getFollowerMillisCount()));
         for (int i = 0; i < count; i++) {
-            StoreDuty.Follower follower = new StoreDuty.Follower(
+            StoreFollowerElection.Follower follower = new StoreFollowerElection.Follower(
                     report.getFollowers(i), report.getFollowerAnswers(i), report.getFollowerMillis(i));
-            publications.duty().heard(follower, now);
+            publications.followerElection().heard(follower, now);
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
@@ -84,7 +84,7 @@
     void heard(String peer, StorePosition position) {
         highestHeard = position.isAfter(highestHeard) ? position : highestHeard;
         boolean behind = highestHeard.isAfter(publications.position());
-        publications.duty().behind(behind, loop.nowNanos());
+        publications.followerElection().behind(behind, loop.nowNanos());
         if (behind && !asking) {
             asking = true;
             loop.runAfter(BEHIND_MILLIS, () -> askIfBehind(peer, position));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -33,7 +33,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final PublishedItems items = new PublishedItems();
-    private final StoreDuty duty;
+    private final StoreFollowerElection followerElection;
     private final ItemDecoder decoder;
     private GatewayLoop loop;
     private long holdUntilNanos;
@@ -62,7 +62,7 @@
      */
     public Publications(ItemDecoder decoder, Duration bound, long incarnation) {
         this.decoder = decoder;
-        this.duty = new StoreDuty(bound, incarnation);
+        this.followerElection = new StoreFollowerElection(bound, incarnation);
     }
 
     @Override
@@ -110,8 +110,8 @@
      *
      * @return the decision's state
      */
-    public StoreDuty duty() {
-        return duty;
+    public StoreFollowerElection followerElection() {
+        return followerElection;
     }
 
     /**
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreDuty.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
@@ -20,7 +20,7 @@
  * <p>Those that come into question after a loss begin one after the other, in groups that double. If all began at once,
  * a store that turns some processes away would be called by all others until it takes these back.
  */
-public final class StoreDuty {
+public final class StoreFollowerElection {
     private static final long MILLISECOND = 1_000_000L;
 
     /** A call waits for half of the time within which changes must be in force, so that a silent one is noticed in it. */
@@ -90,7 +90,7 @@
      * @param incarnation rises with every start of a process of this name; its answers are counted from there, so that
      *     peers don't take them for older than those of its last life
      */
-    public StoreDuty(Duration bound, long incarnation) {
+    public StoreFollowerElection(Duration bound, long incarnation) {
         boundNanos = bound.toNanos();
         answers = incarnation;
     }
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreDutyTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
@@ -8,27 +8,27 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class StoreDutyTest {
+class StoreFollowerElectionTest {
     private static final long MILLISECOND = 1_000_000L;
     private static final Duration BOUND = Duration.ofSeconds(2);
     private static final long FRESH_MILLIS = 1_500;
     private static final int FLEET = 95;
     private static final int FOLLOWERS = 2;
 
-    private final StoreDuty duty = member(4);
+    private final StoreFollowerElection election = member(4);
 
-    private static StoreDuty member(int rank) {
-        StoreDuty duty = new StoreDuty(BOUND, 0);
-        duty.order(rank, IntStream.range(0, FLEET).boxed().toList(), FOLLOWERS);
-        hear(duty, rank, 0);
-        return duty;
+    private static StoreFollowerElection member(int rank) {
+        StoreFollowerElection election = new StoreFollowerElection(BOUND, 0);
+        election.order(rank, IntStream.range(0, FLEET).boxed().toList(), FOLLOWERS);
+        hear(election, rank, 0);
+        return election;
     }
 
     // A whole fleet starts. If each process followed before it hears of the others, the store would get a call of each
     // for every worker that starts too.
     @Test
     void aProcessThatHasHeardOfNobodyFollowsTheStoreAfterAMoment() {
-        StoreDuty alone = new StoreDuty(BOUND, 0);
+        StoreFollowerElection alone = new StoreFollowerElection(BOUND, 0);
         assertThat(alone.mustFollow(0)).isFalse();
         assertThat(alone.mustFollow(249 * MILLISECOND)).isFalse();
         assertThat(alone.mustFollow(250 * MILLISECOND)).isTrue();
@@ -37,24 +37,24 @@
     @Test
     void theFirstProcessesFollowWhateverTheyHear() {
         for (int rank = 0; rank < FOLLOWERS; rank++) {
-            StoreDuty first = member(rank);
+            StoreFollowerElection first = member(rank);
             IntStream.range(0, FLEET).forEach(id -> hear(first, id, 0));
             assertThat(first.mustFollow(0)).isTrue();
         }
-        hear(duty, 0, 0);
-        hear(duty, 1, 0);
-        assertThat(duty.mustFollow(0)).isFalse();
+        hear(election, 0, 0);
+        hear(election, 1, 0);
+        assertThat(election.mustFollow(0)).isFalse();
     }
 
     // Both processes that follow are killed just before a key is taken away. The others must read the store in time, or
     // the key goes on being served.
     @Test
     void aProcessRestsOnlyWhileItHearsThatOthersFollow() {
-        hear(duty, 0, 0);
-        hear(duty, 1, 0);
-        assertThat(duty.mustFollow((FRESH_MILLIS - 1) * MILLISECOND)).isFalse();
-        assertThat(duty.mustFollow(FRESH_MILLIS * MILLISECOND)).isFalse();
-        assertThat(duty.mustFollow((FRESH_MILLIS + 100) * MILLISECOND)).isTrue();
+        hear(election, 0, 0);
+        hear(election, 1, 0);
+        assertThat(election.mustFollow((FRESH_MILLIS - 1) * MILLISECOND)).isFalse();
+        assertThat(election.mustFollow(FRESH_MILLIS * MILLISECOND)).isFalse();
+        assertThat(election.mustFollow((FRESH_MILLIS + 100) * MILLISECOND)).isTrue();
     }
 
     // Followers are lost. If all others called the store at once, a store that turns some away would get the calls of
@@ -64,7 +64,7 @@
     void processesComeIntoQuestionOneGroupAfterTheOtherAndTheLastStillInTime() {
         int before = 0;
         for (int rank = 0; rank < FLEET; rank++) {
-            StoreDuty one = member(rank);
+            StoreFollowerElection one = member(rank);
             one.mustFollow(0);
             int turn = turnMillis(one);
             assertThat(turn).isGreaterThanOrEqualTo(before);
@@ -74,7 +74,7 @@
         assertThat(turnMillis(member(FOLLOWERS + 1))).isPositive();
     }
 
-    private static int turnMillis(StoreDuty one) {
+    private static int turnMillis(StoreFollowerElection one) {
         one.mustFollow(0);
         return IntStream.range(0, (int) BOUND.toMillis())
                 .filter(millis -> one.mustFollow(millis * MILLISECOND))
@@ -87,21 +87,21 @@
     // three periods of reports, when the next one comes. If that were too old, others would begin to follow all day.
     @Test
     void theWordOfAFollowerThatOnlyWaitsDoesNotRunOut() {
-        long oldest = duty.longestCall().plus(duty.betweenCalls()).toMillis() + 300;
+        long oldest = election.longestCall().plus(election.betweenCalls()).toMillis() + 300;
         assertThat(oldest).isLessThan(FRESH_MILLIS);
     }
 
     // Changes get lost on a connection between two processes that has gone silent, while reports still come.
     @Test
     void aProcessThatStaysBehindFollowsByItself() {
-        hear(duty, 0, 0);
-        hear(duty, 1, 0);
-        duty.behind(true, 0);
-        assertThat(duty.mustFollow(300 * MILLISECOND)).isFalse();
-        duty.behind(true, 300 * MILLISECOND);
-        assertThat(duty.mustFollow(500 * MILLISECOND)).isTrue();
-        duty.behind(false, 500 * MILLISECOND);
-        assertThat(duty.mustFollow(500 * MILLISECOND)).isFalse();
+        hear(election, 0, 0);
+        hear(election, 1, 0);
+        election.behind(true, 0);
+        assertThat(election.mustFollow(300 * MILLISECOND)).isFalse();
+        election.behind(true, 300 * MILLISECOND);
+        assertThat(election.mustFollow(500 * MILLISECOND)).isTrue();
+        election.behind(false, 500 * MILLISECOND);
+        assertThat(election.mustFollow(500 * MILLISECOND)).isFalse();
     }
 
     // The store turns away the first processes of the order. Some others have taken over; of these too the first ones
@@ -109,16 +109,16 @@
     // on, and if each stopped because of the other, nobody would follow.
     @Test
     void ofThoseThatHaveTakenOverTheFirstGoOn() {
-        StoreDuty fifth = member(5);
-        for (StoreDuty each : List.of(duty, fifth)) {
+        StoreFollowerElection fifth = member(5);
+        for (StoreFollowerElection each : List.of(election, fifth)) {
             each.mustFollow(0);
             each.answered(0);
             hear(each, 7, 0);
             hear(each, 8, 0);
         }
         hear(fifth, 4, 0);
-        hear(duty, 5, 0);
-        assertThat(duty.mustFollow(0)).isTrue();
+        hear(election, 5, 0);
+        assertThat(election.mustFollow(0)).isTrue();
         assertThat(fifth.mustFollow(0)).isTrue();
         hear(fifth, 3, 0);
         assertThat(fifth.mustFollow(0)).isFalse();
@@ -127,66 +127,66 @@
     @Test
     void theAgeOfWhatWasHeardIsToldOnOfTheFirstOnesOnly() {
         assertThat(member(4).followers(0)).isEmpty();
-        hear(duty, 9, 0);
-        hear(duty, 8, 100 * MILLISECOND);
-        hear(duty, 7, 0);
-        assertThat(duty.followers(700 * MILLISECOND))
-                .containsExactly(new StoreDuty.Follower(7, 1, 700), new StoreDuty.Follower(8, 1, 600));
-        assertThat(duty.followers((FRESH_MILLIS + 99) * MILLISECOND))
-                .containsExactly(new StoreDuty.Follower(8, 1, FRESH_MILLIS - 1));
+        hear(election, 9, 0);
+        hear(election, 8, 100 * MILLISECOND);
+        hear(election, 7, 0);
+        assertThat(election.followers(700 * MILLISECOND))
+                .containsExactly(new StoreFollowerElection.Follower(7, 1, 700), new StoreFollowerElection.Follower(8, 1, 600));
+        assertThat(election.followers((FRESH_MILLIS + 99) * MILLISECOND))
+                .containsExactly(new StoreFollowerElection.Follower(8, 1, FRESH_MILLIS - 1));
     }
 
     // The process that follows is cut off from the store, and its waiting call hangs. What it tells the others must get
     // old meanwhile, or they rely on it until the call's timeout.
     @Test
     void aFollowersWordIsAsOldAsItsLastAnswer() {
-        duty.answered(0);
-        assertThat(duty.followers(900 * MILLISECOND)).containsExactly(new StoreDuty.Follower(4, 1, 900));
-        assertThat(duty.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
-        duty.unanswered();
-        assertThat(duty.followers(900 * MILLISECOND)).isEmpty();
+        election.answered(0);
+        assertThat(election.followers(900 * MILLISECOND)).containsExactly(new StoreFollowerElection.Follower(4, 1, 900));
+        assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
+        election.unanswered();
+        assertThat(election.followers(900 * MILLISECOND)).isEmpty();
     }
 
     @Test
     void peersHearOfAnAnswerSoon() {
-        duty.answered(5);
-        assertThat(duty.newsSince(4)).isTrue();
-        assertThat(duty.newsSince(5)).isFalse();
-        hear(duty, 0, 7);
-        assertThat(duty.newsSince(5)).isTrue();
-        hear(duty, 0, 9);
-        assertThat(duty.newsSince(7)).isFalse();
+        election.answered(5);
+        assertThat(election.newsSince(4)).isTrue();
+        assertThat(election.newsSince(5)).isFalse();
+        hear(election, 0, 7);
+        assertThat(election.newsSince(5)).isTrue();
+        hear(election, 0, 9);
+        assertThat(election.newsSince(7)).isFalse();
     }
 
     // A follower is gone, and busy processes go on telling each other of its last answer. Each time that word has been
     // under way for 50 ms, so that it would look as young as before, and nobody would take over.
     @Test
     void theWordOfAProcessThatIsGoneDoesNotBecomeYoungerByBeingRepeated() {
-        duty.heard(new StoreDuty.Follower(0, 5, 0), 0);
-        duty.heard(new StoreDuty.Follower(1, 5, 0), 0);
-        duty.mustFollow(0);
+        election.heard(new StoreFollowerElection.Follower(0, 5, 0), 0);
+        election.heard(new StoreFollowerElection.Follower(1, 5, 0), 0);
+        election.mustFollow(0);
         for (long millis = 100; millis < FRESH_MILLIS; millis += 100) {
-            duty.heard(new StoreDuty.Follower(0, 5, millis - 50), millis * MILLISECOND);
+            election.heard(new StoreFollowerElection.Follower(0, 5, millis - 50), millis * MILLISECOND);
         }
-        assertThat(duty.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
-        duty.mustFollow(FRESH_MILLIS * MILLISECOND);
-        duty.heard(new StoreDuty.Follower(0, 5, FRESH_MILLIS - 50), FRESH_MILLIS * MILLISECOND);
-        assertThat(duty.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
+        assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
+        election.mustFollow(FRESH_MILLIS * MILLISECOND);
+        election.heard(new StoreFollowerElection.Follower(0, 5, FRESH_MILLIS - 50), FRESH_MILLIS * MILLISECOND);
+        assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
     }
 
     @Test
     void aProcessThatStartsAgainIsHeardAtOnce() {
-        StoreDuty before = new StoreDuty(BOUND, 1_000);
+        StoreFollowerElection before = new StoreFollowerElection(BOUND, 1_000);
         before.answered(0);
-        StoreDuty after = new StoreDuty(BOUND, 2_000);
+        StoreFollowerElection after = new StoreFollowerElection(BOUND, 2_000);
         after.answered(0);
         assertThat(after.followers(0).get(0).answer())
                 .isGreaterThan(before.followers(0).get(0).answer());
     }
 
     /** The first answer of a process, had at some moment. */
-    private static void hear(StoreDuty duty, int id, long atNanos) {
-        duty.heard(new StoreDuty.Follower(id, 1, 0), atNanos);
+    private static void hear(StoreFollowerElection election, int id, long atNanos) {
+        election.heard(new StoreFollowerElection.Follower(id, 1, 0), atNanos);
     }
 
     // The store is away. Without turns it would get as many calls a second as there are processes, twice.
@@ -194,7 +194,7 @@
     void manyProcessesTakeTurnsAtAStoreThatIsAway() {
         int calls = 0;
         for (int rank = 0; rank < FLEET; rank++) {
-            StoreDuty one = member(rank);
+            StoreFollowerElection one = member(rank);
             long millis = one.pauseMillis(500, 1);
             for (int failures = 2; millis < 60_000; failures++) {
                 calls++;
@@ -202,7 +202,7 @@
             }
         }
         assertThat(calls).isBetween(60 * 7, 60 * 9);
-        StoreDuty alone = new StoreDuty(BOUND, 0);
+        StoreFollowerElection alone = new StoreFollowerElection(BOUND, 0);
         assertThat(alone.pauseMillis(500, 1)).isEqualTo(500);
         assertThat(alone.pauseMillis(500, 9)).isEqualTo(500);
     }
