--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
@@ -177,7 +177,7 @@
      * @param nowNanos the time
      * @return false if others do
      */
-    public boolean mustFollow(long nowNanos) {
+    public boolean shouldFollow(long nowNanos) {
         int own = rank();
         int following = 0;
         int before = 0;
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
@@ -29,9 +29,9 @@
     @Test
     void aProcessThatHasHeardOfNobodyFollowsTheStoreAfterAMoment() {
         StoreFollowerElection alone = new StoreFollowerElection(BOUND, 0);
-        assertThat(alone.mustFollow(0)).isFalse();
-        assertThat(alone.mustFollow(249 * MILLISECOND)).isFalse();
-        assertThat(alone.mustFollow(250 * MILLISECOND)).isTrue();
+        assertThat(alone.shouldFollow(0)).isFalse();
+        assertThat(alone.shouldFollow(249 * MILLISECOND)).isFalse();
+        assertThat(alone.shouldFollow(250 * MILLISECOND)).isTrue();
     }
 
     @Test
@@ -39,11 +39,11 @@
         for (int rank = 0; rank < FOLLOWERS; rank++) {
             StoreFollowerElection first = member(rank);
             IntStream.range(0, FLEET).forEach(id -> hear(first, id, 0));
-            assertThat(first.mustFollow(0)).isTrue();
+            assertThat(first.shouldFollow(0)).isTrue();
         }
         hear(election, 0, 0);
         hear(election, 1, 0);
-        assertThat(election.mustFollow(0)).isFalse();
+        assertThat(election.shouldFollow(0)).isFalse();
     }
 
     // Both processes that follow are killed just before a key is taken away. The others must read the store in time, or
@@ -52,9 +52,9 @@
     void aProcessRestsOnlyWhileItHearsThatOthersFollow() {
         hear(election, 0, 0);
         hear(election, 1, 0);
-        assertThat(election.mustFollow((FRESH_MILLIS - 1) * MILLISECOND)).isFalse();
-        assertThat(election.mustFollow(FRESH_MILLIS * MILLISECOND)).isFalse();
-        assertThat(election.mustFollow((FRESH_MILLIS + 100) * MILLISECOND)).isTrue();
+        assertThat(election.shouldFollow((FRESH_MILLIS - 1) * MILLISECOND)).isFalse();
+        assertThat(election.shouldFollow(FRESH_MILLIS * MILLISECOND)).isFalse();
+        assertThat(election.shouldFollow((FRESH_MILLIS + 100) * MILLISECOND)).isTrue();
     }
 
     // Followers are lost. If all others called the store at once, a store that turns some away would get the calls of
@@ -65,7 +65,7 @@
         int before = 0;
         for (int rank = 0; rank < FLEET; rank++) {
             StoreFollowerElection one = member(rank);
-            one.mustFollow(0);
+            one.shouldFollow(0);
             int turn = turnMillis(one);
             assertThat(turn).isGreaterThanOrEqualTo(before);
             assertThat(FRESH_MILLIS + turn).isLessThan(BOUND.toMillis() - 150);
@@ -75,9 +75,9 @@
     }
 
     private static int turnMillis(StoreFollowerElection one) {
-        one.mustFollow(0);
+        one.shouldFollow(0);
         return IntStream.range(0, (int) BOUND.toMillis())
-                .filter(millis -> one.mustFollow(millis * MILLISECOND))
+                .filter(millis -> one.shouldFollow(millis * MILLISECOND))
                 .findFirst()
                 .orElseThrow();
     }
@@ -97,11 +97,11 @@
         hear(election, 0, 0);
         hear(election, 1, 0);
         election.behind(true, 0);
-        assertThat(election.mustFollow(300 * MILLISECOND)).isFalse();
+        assertThat(election.shouldFollow(300 * MILLISECOND)).isFalse();
         election.behind(true, 300 * MILLISECOND);
-        assertThat(election.mustFollow(500 * MILLISECOND)).isTrue();
+        assertThat(election.shouldFollow(500 * MILLISECOND)).isTrue();
         election.behind(false, 500 * MILLISECOND);
-        assertThat(election.mustFollow(500 * MILLISECOND)).isFalse();
+        assertThat(election.shouldFollow(500 * MILLISECOND)).isFalse();
     }
 
     // The store turns away the first processes of the order. Some others have taken over; of these too the first ones
@@ -111,17 +111,17 @@
     void ofThoseThatHaveTakenOverTheFirstGoOn() {
         StoreFollowerElection fifth = member(5);
         for (StoreFollowerElection each : List.of(election, fifth)) {
-            each.mustFollow(0);
+            each.shouldFollow(0);
             each.answered(0);
             hear(each, 7, 0);
             hear(each, 8, 0);
         }
         hear(fifth, 4, 0);
         hear(election, 5, 0);
-        assertThat(election.mustFollow(0)).isTrue();
-        assertThat(fifth.mustFollow(0)).isTrue();
+        assertThat(election.shouldFollow(0)).isTrue();
+        assertThat(fifth.shouldFollow(0)).isTrue();
         hear(fifth, 3, 0);
-        assertThat(fifth.mustFollow(0)).isFalse();
+        assertThat(fifth.shouldFollow(0)).isFalse();
     }
 
     @Test
@@ -164,12 +164,12 @@
     void theWordOfAProcessThatIsGoneDoesNotBecomeYoungerByBeingRepeated() {
         election.heard(new StoreFollowerElection.Follower(0, 5, 0), 0);
         election.heard(new StoreFollowerElection.Follower(1, 5, 0), 0);
-        election.mustFollow(0);
+        election.shouldFollow(0);
         for (long millis = 100; millis < FRESH_MILLIS; millis += 100) {
             election.heard(new StoreFollowerElection.Follower(0, 5, millis - 50), millis * MILLISECOND);
         }
         assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
-        election.mustFollow(FRESH_MILLIS * MILLISECOND);
+        election.shouldFollow(FRESH_MILLIS * MILLISECOND);
         election.heard(new StoreFollowerElection.Follower(0, 5, FRESH_MILLIS - 50), FRESH_MILLIS * MILLISECOND);
         assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
     }
