--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
@@ -157,7 +157,7 @@
     }
 
     /** The store has not answered this process, or is no longer asked. */
-    public void unanswered() {
+    public void stopFollowing() {
         follows = false;
     }
 
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
@@ -143,7 +143,7 @@
         election.answered(0);
         assertThat(election.followers(900 * MILLISECOND)).containsExactly(new StoreFollowerElection.Follower(4, 1, 900));
         assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
-        election.unanswered();
+        election.stopFollowing();
         assertThat(election.followers(900 * MILLISECOND)).isEmpty();
     }
 
