--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
@@ -149,7 +149,7 @@
      *
      * @param nowNanos the time
      */
-    public void answered(long nowNanos) {
+    public void recordStoreAnswer(long nowNanos) {
         follows = true;
         answers++;
         answeredNanos = nowNanos;
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
@@ -112,7 +112,7 @@
         StoreFollowerElection fifth = member(5);
         for (StoreFollowerElection each : List.of(election, fifth)) {
             each.shouldFollow(0);
-            each.answered(0);
+            each.recordStoreAnswer(0);
             hear(each, 7, 0);
             hear(each, 8, 0);
         }
@@ -140,7 +140,7 @@
     // old meanwhile, or they rely on it until the call's timeout.
     @Test
     void aFollowersWordIsAsOldAsItsLastAnswer() {
-        election.answered(0);
+        election.recordStoreAnswer(0);
         assertThat(election.followers(900 * MILLISECOND)).containsExactly(new StoreFollowerElection.Follower(4, 1, 900));
         assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
         election.stopFollowing();
@@ -149,7 +149,7 @@
 
     @Test
     void peersHearOfAnAnswerSoon() {
-        election.answered(5);
+        election.recordStoreAnswer(5);
         assertThat(election.newsSince(4)).isTrue();
         assertThat(election.newsSince(5)).isFalse();
         hear(election, 0, 7);
@@ -177,9 +177,9 @@
     @Test
     void aProcessThatStartsAgainIsHeardAtOnce() {
         StoreFollowerElection before = new StoreFollowerElection(BOUND, 1_000);
-        before.answered(0);
+        before.recordStoreAnswer(0);
         StoreFollowerElection after = new StoreFollowerElection(BOUND, 2_000);
-        after.answered(0);
+        after.recordStoreAnswer(0);
         assertThat(after.followers(0).get(0).answer())
                 .isGreaterThan(before.followers(0).get(0).answer());
     }
