--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
@@ -244,7 +244,7 @@
      *
      * @return the time
      */
-    public Duration longestCall() {
+    public Duration longPollTimeout() {
         return Duration.ofNanos(part(CALL_PART));
     }
 
