--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
@@ -253,7 +253,7 @@
      *
      * @return the time
      */
-    public Duration betweenCalls() {
+    public Duration batchDelay() {
         return Duration.ofNanos(part(GATHER_PART));
     }
 
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
@@ -87,7 +87,7 @@
     // three periods of reports, when the next one comes. If that were too old, others would begin to follow all day.
     @Test
     void theWordOfAFollowerThatOnlyWaitsDoesNotRunOut() {
-        long oldest = election.longPollTimeout().plus(election.betweenCalls()).toMillis() + 300;
+        long oldest = election.longPollTimeout().plus(election.batchDelay()).toMillis() + 300;
         assertThat(oldest).isLessThan(FRESH_MILLIS);
     }
 
