--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
@@ -265,7 +265,7 @@
      * @param failures calls that have failed one after the other, this one included
      * @return the pause
      */
-    public long pauseMillis(long pauseMillis, int failures) {
+    public long retryDelayMillis(long pauseMillis, int failures) {
         int turns = failures == 1 ? rank() / ASKING + 1 : ranks.size() / ASKING;
         return pauseMillis * Math.max(1, turns);
     }
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
@@ -195,15 +195,15 @@
         int calls = 0;
         for (int rank = 0; rank < FLEET; rank++) {
             StoreFollowerElection one = member(rank);
-            long millis = one.pauseMillis(500, 1);
+            long millis = one.retryDelayMillis(500, 1);
             for (int failures = 2; millis < 60_000; failures++) {
                 calls++;
-                millis += one.pauseMillis(500, failures);
+                millis += one.retryDelayMillis(500, failures);
             }
         }
         assertThat(calls).isBetween(60 * 7, 60 * 9);
         StoreFollowerElection alone = new StoreFollowerElection(BOUND, 0);
-        assertThat(alone.pauseMillis(500, 1)).isEqualTo(500);
-        assertThat(alone.pauseMillis(500, 9)).isEqualTo(500);
+        assertThat(alone.retryDelayMillis(500, 1)).isEqualTo(500);
+        assertThat(alone.retryDelayMillis(500, 9)).isEqualTo(500);
     }
 }
