--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
@@ -8,7 +8,7 @@
      * @param item its newest state
      * @param nowNanos the time on the monotonic clock
      */
-    void changed(PublishedItem item, long nowNanos);
+    void applyChange(PublishedItem item, long nowNanos);
 
     /**
      * Whether an item's deletion may be undone shortly after the store has come back.
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -222,18 +222,18 @@
             } else if (!item.deleted() && renewed && change.doubtful()) {
                 loop.runAfter(COPIED_MILLIS, () -> addUnlessGone(item.key()));
             } else {
-                decoder.changed(item, loop.nowNanos());
+                decoder.applyChange(item, loop.nowNanos());
             }
         }
     }
 
     private void deleteUnlessBack(PublishedItem item) {
         if (items.find(item.key()).isEmpty()) {
-            decoder.changed(item, loop.nowNanos());
+            decoder.applyChange(item, loop.nowNanos());
         }
     }
 
     private void addUnlessGone(String key) {
-        items.find(key).ifPresent(item -> decoder.changed(item, loop.nowNanos()));
+        items.find(key).ifPresent(item -> decoder.applyChange(item, loop.nowNanos()));
     }
 }
