--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
@@ -16,7 +16,7 @@
      * @param key the item's key
      * @return true for entries that their owners renew
      */
-    boolean renewed(String key);
+    boolean isLeased(String key);
 
     /** All items are known up to some revision. */
     void complete();
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -215,7 +215,7 @@
     private void apply(List<ItemChange> news) {
         for (ItemChange change : news) {
             PublishedItem item = change.item();
-            boolean renewed = decoder.renewed(item.key());
+            boolean renewed = decoder.isLeased(item.key());
             long heldMillis = holdMillis();
             if (item.deleted() && heldMillis > 0 && (renewed || change.doubtful())) {
                 loop.runAfter(heldMillis + 1, () -> deleteUnlessBack(item));
