--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
@@ -19,5 +19,5 @@
     boolean isLeased(String key);
 
     /** All items are known up to some revision. */
-    void complete();
+    void completeInitialLoad();
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -207,7 +207,7 @@
         apply(news);
         if (!complete && at.revision() > 0) {
             complete = true;
-            decoder.complete();
+            decoder.completeInitialLoad();
         }
         return news.stream().map(ItemChange::item).toList();
     }
