--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -269,7 +269,8 @@
                 .setRevision(publications.position().revision())
                 .setEra(publications.position().era())
                 .setWorkers(LoadCodec.encode(loads));
-        for (StoreFollowerElection.Follower follower : publications.followerElection().followers(now)) {
+        for (StoreFollowerElection.Follower follower :
+                publications.followerElection().followers(now)) {
             report.addFollowers(follower.id())
                     .addFollowerAnswers(follower.answer())
                     .addFollowerMillis((int) follower.ageMillis());
@@ -341,7 +342,8 @@
             if (millis.length == LatencyClassWork.none().millis().length) {
                 boolean alone = scope == PeerLoads.Scope.OWN;
                 String speaker = scope == PeerLoads.Scope.OTHERS ? COLLECTOR : peer;
-                state.enginePartition(work.getUpstream()).recordPeerWork(speaker, alone, new LatencyClassWork(millis), now);
+                state.enginePartition(work.getUpstream())
+                        .recordPeerWork(speaker, alone, new LatencyClassWork(millis), now);
             }
         }
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Selection.java
@@ -101,7 +101,11 @@
         }
         Call.Terms terms = call.terms();
         EngineSelector selector = new EngineSelector(
-                dataCentre, state.cachedPrefixes(), split(call), terms.upstream().transfer(), random);
+                dataCentre,
+                state.cachedPrefixes(),
+                split(call),
+                terms.upstream().transfer(),
+                random);
         SelectionResult choice = selector.choose(prompt.get(), candidates, mostStreams, nowNanos);
         if (choice instanceof SelectionResult.Selected engine) {
             return state.workers()
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
@@ -131,7 +131,8 @@
         hear(election, 8, 100 * MILLISECOND);
         hear(election, 7, 0);
         assertThat(election.followers(700 * MILLISECOND))
-                .containsExactly(new StoreFollowerElection.Follower(7, 1, 700), new StoreFollowerElection.Follower(8, 1, 600));
+                .containsExactly(
+                        new StoreFollowerElection.Follower(7, 1, 700), new StoreFollowerElection.Follower(8, 1, 600));
         assertThat(election.followers((FRESH_MILLIS + 99) * MILLISECOND))
                 .containsExactly(new StoreFollowerElection.Follower(8, 1, FRESH_MILLIS - 1));
     }
@@ -141,7 +142,8 @@
     @Test
     void aFollowersWordIsAsOldAsItsLastAnswer() {
         election.recordStoreAnswer(0);
-        assertThat(election.followers(900 * MILLISECOND)).containsExactly(new StoreFollowerElection.Follower(4, 1, 900));
+        assertThat(election.followers(900 * MILLISECOND))
+                .containsExactly(new StoreFollowerElection.Follower(4, 1, 900));
         assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
         election.stopFollowing();
         assertThat(election.followers(900 * MILLISECOND)).isEmpty();
