--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
@@ -98,7 +98,7 @@
      * @param periodMillis the period
      * @param task must not block
      */
-    public void atNext(long periodMillis, Runnable task) {
+    public void runAtNextMultiple(long periodMillis, Runnable task) {
         long periodNanos = TimeUnit.MILLISECONDS.toNanos(periodMillis);
         schedule(task, periodNanos - Math.floorMod(nowNanos(), periodNanos));
     }
@@ -109,7 +109,7 @@
      * @param millis the time
      * @param task must not block
      */
-    public void after(long millis, Runnable task) {
+    public void runAfter(long millis, Runnable task) {
         schedule(task, TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
@@ -139,7 +139,7 @@
      *
      * @return milliseconds
      */
-    public long lateMillis() {
+    public long lagMillis() {
         Long first = due.peek();
         long waitingNanos = first == null ? 0 : nowNanos() - first;
         return TimeUnit.NANOSECONDS.toMillis(Math.max(lateNanos, waitingNanos));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -31,16 +31,16 @@
 
     private final Workers workers = new Workers();
     private final Map<String, WindowedRetryBudget> budgets = new HashMap<>();
-    private final Map<String, EnginePartition> splits = new HashMap<>();
+    private final Map<String, EnginePartition> enginePartitions = new HashMap<>();
     private final Map<String, EngineModel> models = new HashMap<>();
     private final RequestQuarantine quarantine = new RequestQuarantine();
-    private final CachedPrefixes prefixes = new CachedPrefixes();
-    private final RepeatLimit limit;
+    private final CachedPrefixes cachedPrefixes = new CachedPrefixes();
+    private final RetryLimit limit;
     private AuditTrail audit;
     private volatile RoutingTable table;
-    private volatile boolean workersKnown;
+    private volatile boolean workersLoaded;
     private int processes = 1;
-    private int reachable = 1;
+    private int reachableProcesses = 1;
 
     /**
      * The fleet's bound on repeats to one upstream.
@@ -49,14 +49,14 @@
      * @param extra repeats in a window beside these, of all processes together
      * @param windowNanos the window's length
      */
-    public record RepeatLimit(double ratio, double extra, long windowNanos) {}
+    public record RetryLimit(double ratio, double extra, long windowNanos) {}
 
     /**
      * Makes a state that knows nothing.
      *
      * @param limit the bound on repeats
      */
-    public GatewayState(RepeatLimit limit) {
+    public GatewayState(RetryLimit limit) {
         this.limit = limit;
     }
 
@@ -95,7 +95,7 @@
      *
      * @param next the table
      */
-    public void publish(RoutingTable next) {
+    public void activate(RoutingTable next) {
         long before = table == null ? 0 : table.number();
         if (next.number() <= before) {
             return;
@@ -111,10 +111,10 @@
      * @param entry the worker
      * @param nowNanos the time
      */
-    public void publish(WorkerEntry entry, long nowNanos) {
+    public void updateWorker(WorkerEntry entry, long nowNanos) {
         String before =
                 workers.find(entry.id()).map(known -> describe(known.entry())).orElse("");
-        workers.published(entry, nowNanos);
+        workers.addOrUpdate(entry, nowNanos);
         if (!before.equals(describe(entry))) {
             audit.add(AuditEvent.Kind.UPSTREAM, entry.id(), "published", before, describe(entry));
         }
@@ -125,8 +125,8 @@
      *
      * @param id its name
      */
-    public void gone(String id) {
-        workers.gone(id)
+    public void removeWorker(String id) {
+        workers.remove(id)
                 .ifPresent(entry -> audit.add(AuditEvent.Kind.UPSTREAM, id, "published", describe(entry), "gone"));
     }
 
@@ -137,7 +137,7 @@
      * @param evacuated whether its workers get nothing more
      * @param nowNanos the time
      */
-    public void evacuation(String dataCentre, boolean evacuated, long nowNanos) {
+    public void setEvacuated(String dataCentre, boolean evacuated, long nowNanos) {
         boolean changed = evacuated ? workers.evacuated(dataCentre) : workers.takenBack(dataCentre, nowNanos);
         if (changed) {
             String now = evacuated ? "evacuated" : "in use";
@@ -146,8 +146,8 @@
     }
 
     /** Every published worker has been read once. */
-    public void workersKnown() {
-        workersKnown = true;
+    public void markWorkersLoaded() {
+        workersLoaded = true;
     }
 
     /**
@@ -155,8 +155,8 @@
      *
      * @return true once a routing table and the workers are known
      */
-    public boolean ready() {
-        return table != null && workersKnown;
+    public boolean isReady() {
+        return table != null && workersLoaded;
     }
 
     /**
@@ -174,7 +174,7 @@
      * @param upstream its name
      * @return this process's part
      */
-    public WindowedRetryBudget budget(String upstream) {
+    public WindowedRetryBudget retryBudget(String upstream) {
         return budgets.computeIfAbsent(upstream, name -> {
             WindowedRetryBudget budget = new WindowedRetryBudget(limit.ratio(), limit.extra(), limit.windowNanos());
             budget.recordFleetSize(processes);
@@ -188,8 +188,8 @@
      * @param upstream its name
      * @return its split
      */
-    public EnginePartition split(String upstream) {
-        return splits.computeIfAbsent(upstream, name -> new EnginePartition());
+    public EnginePartition enginePartition(String upstream) {
+        return enginePartitions.computeIfAbsent(upstream, name -> new EnginePartition());
     }
 
     /**
@@ -198,7 +198,7 @@
      * @param upstream its name
      * @return its model
      */
-    public EngineModel model(String upstream) {
+    public EngineModel engineModel(String upstream) {
         return models.computeIfAbsent(upstream, name -> new EngineModel());
     }
 
@@ -207,8 +207,8 @@
      *
      * @return the parts of all upstreams
      */
-    public CachedPrefixes prefixes() {
-        return prefixes;
+    public CachedPrefixes cachedPrefixes() {
+        return cachedPrefixes;
     }
 
     /**
@@ -226,7 +226,7 @@
      * @param notice what happened
      * @param nowNanos the time
      */
-    public void learn(CrashNotice notice, long nowNanos) {
+    public void applyCrashNotice(CrashNotice notice, long nowNanos) {
         if (quarantine.applyNotice(notice, nowNanos)) {
             audit.add(AuditEvent.Kind.QUARANTINE, notice.request().toString(), "workers crashed under it", "", "held");
         }
@@ -239,7 +239,7 @@
      * @param perSecond requests a second from all processes together, empty if it named no limit
      * @param nowNanos the time
      */
-    public void limited(WorkerEntry worker, OptionalDouble perSecond, long nowNanos) {
+    public void recordWorkerLimit(WorkerEntry worker, OptionalDouble perSecond, long nowNanos) {
         WorkerLimits limits = workers.limits();
         String before = describe(limits.limit(worker.incarnation()));
         boolean published = workers.started(worker.incarnation()).isPresent();
@@ -256,7 +256,7 @@
      * @param peer the peer's name
      * @param nowNanos the time
      */
-    public void learn(LimitNotice notice, String peer, long nowNanos) {
+    public void applyLimitNotice(LimitNotice notice, String peer, long nowNanos) {
         workers.started(notice.worker()).ifPresent(worker -> {
             WorkerLimits limits = workers.limits();
             String before = describe(limits.limit(notice.worker()));
@@ -272,12 +272,12 @@
     }
 
     /**
-     * The splits of all upstreams that had requests.
+     * The enginePartitions of all upstreams that had requests.
      *
      * @return by the upstream's name
      */
-    public Map<String, EnginePartition> splits() {
-        return splits;
+    public Map<String, EnginePartition> enginePartitions() {
+        return enginePartitions;
     }
 
     /**
@@ -285,8 +285,8 @@
      *
      * @param count processes, this one included
      */
-    public void processes(int count) {
-        reachable = count;
+    public void updateFleetSize(int count) {
+        reachableProcesses = count;
         processes = Math.max(processes, count);
         budgets.values().forEach(budget -> budget.recordFleetSize(count));
     }
@@ -296,8 +296,8 @@
      *
      * @return the count
      */
-    public int reachable() {
-        return reachable;
+    public int reachableProcesses() {
+        return reachableProcesses;
     }
 
     private static String describe(WorkerEntry entry) {
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Admission.java
@@ -82,7 +82,7 @@
             return rejected(new LocalReply(NOT_FOUND, "no route", 0));
         }
         Optional<Customer> customer = table.customer(dialect.apiKey(headers));
-        if (table.keyed() && !route.get().anonymous() && customer.isEmpty()) {
+        if (table.requiresKey() && !route.get().anonymous() && customer.isEmpty()) {
             return rejected(new LocalReply(UNAUTHORIZED, "unknown key", 0));
         }
         return new Decision.Admitted(attributes(table, route.get(), customer, headers, id, arrivalNanos));
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientHttpServer.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/ClientHttpServer.java
@@ -186,7 +186,7 @@
      * requests whose clients have given up, and final replies would be late.
      */
     private long readDelayNanos() {
-        return TimeUnit.MILLISECONDS.toNanos(Math.min(MAX_READ_DELAY_MILLIS, loop.lateMillis()));
+        return TimeUnit.MILLISECONDS.toNanos(Math.min(MAX_READ_DELAY_MILLIS, loop.lagMillis()));
     }
 
     /** Completes when the client's connection closes. Its listener is removed at the end of the request. */
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RequestLog.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RequestLog.java
@@ -51,7 +51,7 @@
             MDC.put("sends", Integer.toString(call.sendCount()));
             MDC.put("waitedMillis", Long.toString(call.firstSendMillis()));
             MDC.put("urgency", Integer.toString(call.attributes().priority()));
-            if (call.attributes().route().streaming()) {
+            if (call.attributes().route().isStreaming()) {
                 MDC.put("firstEventMillis", Long.toString(call.firstEventMillis()));
                 MDC.put("longestPauseMillis", Long.toString(call.longestEventGapMillis()));
                 call.attributes()
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RequestPacer.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/RequestPacer.java
@@ -38,7 +38,7 @@
     /** Completes when a request may proceed, which is at once while the event loop has no backlog. */
     Mono<Void> admit() {
         return Mono.defer(() -> {
-            boolean hasNoBacklog = pending.isEmpty() && loop.lateMillis() < BACKLOG_THRESHOLD_MILLIS;
+            boolean hasNoBacklog = pending.isEmpty() && loop.lagMillis() < BACKLOG_THRESHOLD_MILLIS;
             return hasNoBacklog ? Mono.empty() : Mono.create(this::enqueue);
         });
     }
@@ -48,7 +48,7 @@
         sink.onDispose(() -> pending.remove(sink));
         if (!isScheduled) {
             isScheduled = true;
-            loop.after(POLL_DELAY_MILLIS, () -> loop.after(POLL_DELAY_MILLIS, this::admitBatch));
+            loop.runAfter(POLL_DELAY_MILLIS, () -> loop.runAfter(POLL_DELAY_MILLIS, this::admitBatch));
         }
     }
 
@@ -62,7 +62,7 @@
         }
         isScheduled = !pending.isEmpty();
         if (isScheduled) {
-            loop.after(POLL_DELAY_MILLIS, this::admitBatch);
+            loop.runAfter(POLL_DELAY_MILLIS, this::admitBatch);
         }
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/edge/Shutdown.java
@@ -82,8 +82,8 @@
             audit.add(AuditEvent.Kind.PROCESS, peers.self(), "SIGTERM", "serving", "leaving");
             server.enterPhase(ClientHttpServer.Phase.LEAVING);
             peers.leave();
-            loop.after(LEAVING_MILLIS, () -> server.enterPhase(ClientHttpServer.Phase.DRAINING));
-            loop.after(LEAVING_MILLIS + POLL_INTERVAL_MILLIS, this::poll);
+            loop.runAfter(LEAVING_MILLIS, () -> server.enterPhase(ClientHttpServer.Phase.DRAINING));
+            loop.runAfter(LEAVING_MILLIS + POLL_INTERVAL_MILLIS, this::poll);
         });
     }
 
@@ -118,6 +118,6 @@
             finished.countDown();
             return;
         }
-        loop.after(POLL_INTERVAL_MILLIS, this::poll);
+        loop.runAfter(POLL_INTERVAL_MILLIS, this::poll);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
@@ -54,8 +54,8 @@
      *
      * @return true once it can serve, until its shutdown begins
      */
-    public boolean selfReady() {
-        return state.ready() && !shutdown.hasBegun();
+    public boolean isSelfReady() {
+        return state.isReady() && !shutdown.hasBegun();
     }
 
     /**
@@ -63,12 +63,12 @@
      *
      * @return IP numbers and ports; empty if none is known
      */
-    public List<String> usable() {
+    public List<String> usableAddresses() {
         List<Member> serving = new ArrayList<>();
         List<Member> suspects = new ArrayList<>();
         for (Member member : peers.view()) {
             boolean self = member.name().equals(peers.self());
-            if (self ? !selfReady() : !serves(member)) {
+            if (self ? !isSelfReady() : !serves(member)) {
                 continue;
             }
             (self || member.state() == MemberState.ALIVE ? serving : suspects).add(member);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -24,7 +24,7 @@
 import org.dotterelcourse.gateway.GatewayState;
 import org.dotterelcourse.gateway.fleet.generated.FleetProtos;
 import org.dotterelcourse.gateway.published.Publications;
-import org.dotterelcourse.gateway.published.StoreDuty;
+import org.dotterelcourse.gateway.published.StoreFollowerElection;
 import org.dotterelcourse.gateway.published.StorePosition;
 import org.dotterelcourse.gateway.workers.PeerLoads;
 import org.dotterelcourse.policy.quarantine.CrashNotice;
@@ -135,7 +135,7 @@
         transport = peers.transport();
         transport.registerHandler(
                 LOADS, message -> loop.execute(() -> loads(message.sender().name(), message.body())));
-        loop.after(DIRECT_PERIOD_MILLIS, this::tell);
+        loop.runAfter(DIRECT_PERIOD_MILLIS, this::tell);
         return List.of();
     }
 
@@ -151,7 +151,7 @@
             planned = view;
             plan = CollectorPlan.of(peers.self(), view);
             publications
-                    .duty()
+                    .followerElection()
                     .order(
                             id(peers.self()),
                             plan.readerCandidates().stream()
@@ -163,7 +163,7 @@
             state.quarantine().scheduleReminders();
             state.workers().limits().scheduleReminders();
         }
-        state.processes(others.size() + 1);
+        state.updateFleetSize(others.size() + 1);
         notices = new Notices(
                 state.quarantine().takeNotices(now), state.workers().limits().takeNotices(now));
         if (plan.isDirect()) {
@@ -172,7 +172,7 @@
             tellByPlan(now);
         }
         long period = Math.max(DIRECT_PERIOD_MILLIS, MILLIS_PER_PEER * others.size());
-        loop.atNext(plan.isDirect() ? period : PERIOD_MILLIS, this::tell);
+        loop.runAtNextMultiple(plan.isDirect() ? period : PERIOD_MILLIS, this::tell);
     }
 
     private boolean isOther(Member member) {
@@ -182,7 +182,7 @@
     /** A small fleet: everybody tells everybody. */
     private void tellAll(long now) {
         Map<Integer, PeerLoads.Load> own = state.workers().own(now);
-        List<CachedPrefixes.PartLocation> places = state.prefixes().drainUnreported();
+        List<CachedPrefixes.PartLocation> places = state.cachedPrefixes().drainUnreported();
         if (!due(ALL, own, places, now)) {
             return;
         }
@@ -198,7 +198,7 @@
                 || !places.isEmpty()
                 || !notices.isEmpty()
                 || now - last.atNanos() >= UNCHANGED_PERIOD_MILLIS * NANOS_PER_MILLI
-                || publications.duty().newsSince(last.atNanos())
+                || publications.followerElection().newsSince(last.atNanos())
                 || !loads.equals(last.loads());
         if (due) {
             lastTold.put(receiver, new Told(loads, now));
@@ -208,7 +208,7 @@
 
     private void tellByPlan(long now) {
         reporters.values().removeIf(heard -> now - heard > SILENT_MILLIS * NANOS_PER_MILLI);
-        List<CachedPrefixes.PartLocation> places = state.prefixes().drainUnreported();
+        List<CachedPrefixes.PartLocation> places = state.cachedPrefixes().drainUnreported();
         Optional<String> to = plan.collector(avoided(now));
         if (to.isPresent()) {
             Map<Integer, PeerLoads.Load> own = state.workers().own(now);
@@ -269,7 +269,8 @@
                 .setRevision(publications.position().revision())
                 .setEra(publications.position().era())
                 .setWorkers(LoadCodec.encode(loads));
-        for (StoreDuty.Follower follower : publications.duty().followers(now)) {
+        for (StoreFollowerElection.Follower follower :
+                publications.followerElection().followers(now)) {
             report.addFollowers(follower.id())
                     .addFollowerAnswers(follower.answer())
                     .addFollowerMillis((int) follower.ageMillis());
@@ -281,7 +282,7 @@
             report.setLimits(LimitNoticeCodec.encode(notices.limits()));
         }
         places.forEach(place -> report.addParts(place.part()).addPartWorkers(place.worker()));
-        state.splits().forEach((upstream, split) -> {
+        state.enginePartitions().forEach((upstream, split) -> {
             LatencyClassWork work =
                     switch (kind) {
                         case GATHERED -> split.reportersWork();
@@ -317,8 +318,8 @@
             collectorNanos = now;
         }
         state.workers().peerLoad(peer, scope, loads, now);
-        told.crashes().forEach(crash -> state.learn(crash, now));
-        told.limits().forEach(limit -> state.learn(limit, peer, now));
+        told.crashes().forEach(crash -> state.applyCrashNotice(crash, now));
+        told.limits().forEach(limit -> state.applyLimitNotice(limit, peer, now));
         work(peer, scope, report, now);
         places(scope, report, now);
         followers(report, now);
@@ -341,7 +342,8 @@
             if (millis.length == LatencyClassWork.none().millis().length) {
                 boolean alone = scope == PeerLoads.Scope.OWN;
                 String speaker = scope == PeerLoads.Scope.OTHERS ? COLLECTOR : peer;
-                state.split(work.getUpstream()).recordPeerWork(speaker, alone, new LatencyClassWork(millis), now);
+                state.enginePartition(work.getUpstream())
+                        .recordPeerWork(speaker, alone, new LatencyClassWork(millis), now);
             }
         }
     }
@@ -352,7 +354,7 @@
         for (int i = 0; i < count; i++) {
             CachedPrefixes.PartLocation place =
                     new CachedPrefixes.PartLocation(report.getParts(i), report.getPartWorkers(i));
-            state.prefixes().recordPeerReport(place, now);
+            state.cachedPrefixes().recordPeerReport(place, now);
             if (!direct && scope == PeerLoads.Scope.OWN) {
                 reportedPlaces.add(place);
             } else if (!direct && scope == PeerLoads.Scope.GATHERED) {
@@ -366,9 +368,9 @@
                 report.getFollowersCount(),
                 Math.min(report.getFollowerAnswersCount(), report.getFollowerMillisCount()));
         for (int i = 0; i < count; i++) {
-            StoreDuty.Follower follower = new StoreDuty.Follower(
+            StoreFollowerElection.Follower follower = new StoreFollowerElection.Follower(
                     report.getFollowers(i), report.getFollowerAnswers(i), report.getFollowerMillis(i));
-            publications.duty().heard(follower, now);
+            publications.followerElection().heard(follower, now);
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
@@ -84,10 +84,10 @@
     void heard(String peer, StorePosition position) {
         highestHeard = position.isAfter(highestHeard) ? position : highestHeard;
         boolean behind = highestHeard.isAfter(publications.position());
-        publications.duty().behind(behind, loop.nowNanos());
+        publications.followerElection().behind(behind, loop.nowNanos());
         if (behind && !asking) {
             asking = true;
-            loop.after(BEHIND_MILLIS, () -> askIfBehind(peer, position));
+            loop.runAfter(BEHIND_MILLIS, () -> askIfBehind(peer, position));
         }
     }
 
@@ -177,7 +177,7 @@
         if (items.hasAfter()) {
             boolean ahead = position.isAfter(publications.position());
             StorePosition after = new StorePosition(items.getAfterEra(), items.getAfter());
-            boolean news = publications.relayed(published, after, position);
+            boolean news = publications.applyRelayedChanges(published, after, position);
             if ((news || ahead) && far(peer) && plan().isRelay()) {
                 sendNear(body);
             }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AttemptFailureHandler.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/AttemptFailureHandler.java
@@ -58,7 +58,7 @@
     /** Records that a worker has finished the request without crashing. */
     void recordFinished(Call call) {
         if (!quarantine.isEmpty()) {
-            state.learn(new CrashNotice(call.fingerprint(), Ending.FINISHED, 0, 0, 0), loop.nowNanos());
+            state.applyCrashNotice(new CrashNotice(call.fingerprint(), Ending.FINISHED, 0, 0, 0), loop.nowNanos());
         }
     }
 
@@ -73,7 +73,7 @@
                     attempt.worker().incarnation(),
                     Math.round(attempt.elapsedMillis()),
                     0);
-            state.learn(notice, loop.nowNanos());
+            state.applyCrashNotice(notice, loop.nowNanos());
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineQueues.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/EngineQueues.java
@@ -116,7 +116,7 @@
 
     private void enqueue(UpstreamQueue<QueuedCall> queue, QueuedCall queued) {
         Call.Attributes attributes = queued.call.attributes();
-        double leadMillis = state.model(attributes.upstream().name()).leadTimeMillis();
+        double leadMillis = state.engineModel(attributes.upstream().name()).leadTimeMillis();
         long latestOnTimeStartNanos =
                 attributes.arrivalNanos() + toNanos(attributes.route().targetMillis() - leadMillis);
         long latestUsefulStartNanos =
@@ -131,7 +131,7 @@
         queued.sink.onDispose(() -> queue.remove(queued));
         if (!isPolling) {
             isPolling = true;
-            loop.after(POLL_INTERVAL_MILLIS, this::poll);
+            loop.runAfter(POLL_INTERVAL_MILLIS, this::poll);
         }
     }
 
@@ -147,7 +147,7 @@
         }
         isPolling = queues.values().stream().anyMatch(queue -> queue.size() > 0);
         if (isPolling) {
-            loop.after(POLL_INTERVAL_MILLIS, this::poll);
+            loop.runAfter(POLL_INTERVAL_MILLIS, this::poll);
         }
     }
 
@@ -172,7 +172,7 @@
      * uses an equal share. A fraction of a slot is rounded up with a probability equal to the fraction.
      */
     private int shareOfFreeSlots(Call call, long nowNanos) {
-        double share = selection.freeSlots(call, nowNanos) / (double) Math.max(1, state.reachable());
+        double share = selection.freeSlots(call, nowNanos) / (double) Math.max(1, state.reachableProcesses());
         int wholeSlots = (int) share;
         return wholeSlots + (random.nextDouble() < share - wholeSlots ? 1 : 0);
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -99,7 +99,7 @@
      */
     public Mono<Reply> forward(Call call) {
         return Mono.defer(() -> {
-            state.budget(call.attributes().upstream().name()).recordRequest(loop.nowNanos());
+            state.retryBudget(call.attributes().upstream().name()).recordRequest(loop.nowNanos());
             selection.recordArrival(call, loop.nowNanos());
             return attempt(call, Optional.empty());
         });
@@ -141,7 +141,7 @@
         }
         Placement placement = placed.placement();
         if (failureHandler.verdict(call) instanceof Verdict.Quarantined quarantined) {
-            placement.ended();
+            placement.end();
             return Mono.just(quarantineReply(call, earlierResponse, quarantined));
         }
         long nowNanos = loop.nowNanos();
@@ -151,14 +151,14 @@
                 .onErrorResume(
                         WorkerConnectionException.class,
                         error -> handleConnectionFailure(call, placement, error, earlierResponse))
-                .doOnCancel(placement::ended);
+                .doOnCancel(placement::end);
     }
 
     private Mono<Reply> send(Call call, WorkerSelection.Outcome.Placed placed) {
         Placement placement = placed.placement();
         return client.send(placement.entry(), call.method(), call.uri(), workerHeaders(call, placed), call.body())
                 .flatMap(response -> handleResponse(call, placement, response))
-                .doOnError(error -> placement.ended());
+                .doOnError(error -> placement.end());
     }
 
     private Mono<Reply> handleResponse(Call call, Placement placement, StreamedResponse response) {
@@ -168,7 +168,7 @@
             return Mono.just(new Reply.Streamed(response.status(), response.headers(), events));
         }
         return collect(response)
-                .doFinally(signal -> placement.ended())
+                .doFinally(signal -> placement.end())
                 .doOnNext(buffered -> closeUnlessFromWorker(call, response))
                 .flatMap(buffered ->
                         handleResult(call, placement, validator.classify(call, buffered), Optional.empty()));
@@ -182,7 +182,7 @@
         OptionalDouble limit = dialect.requestLimitPerSecond(response.headers());
         boolean isStampedSuccess = dialect.hasWorkerStamp(response.headers()) && response.status() / 100 == 2;
         if (validator.matchesRequest(call, response.headers()) && (limit.isPresent() || isStampedSuccess)) {
-            state.limited(placement.entry(), limit, loop.nowNanos());
+            state.recordWorkerLimit(placement.entry(), limit, loop.nowNanos());
         }
     }
 
@@ -225,7 +225,7 @@
         Mono<Void> handled = failureHandler.handleFailure(call, placement.entry(), error.getMessage());
         Mono<Reply> reply = Mono.defer(
                 () -> handleResult(call, placement, new AttemptResult.Unknown(error.getMessage()), earlierResponse));
-        return call.attributes().route().repeatable() ? handled.then(reply) : reply;
+        return call.attributes().route().isRetryable() ? handled.then(reply) : reply;
     }
 
     private Mono<Reply> handleResult(
@@ -236,12 +236,12 @@
         }
         if (result instanceof AttemptResult.NotExecuted notExecuted) {
             if (notExecuted.wasReached()) {
-                placement.refused(nowNanos);
+                placement.recordRejection(nowNanos);
             } else {
-                placement.notReached(nowNanos);
+                placement.recordConnectFailure(nowNanos);
             }
         } else {
-            placement.failed(nowNanos);
+            placement.recordFailure(nowNanos);
         }
         if (result instanceof AttemptResult.NotExecuted notExecuted) {
             boolean shouldRetry = notExecuted.wasReached()
@@ -253,7 +253,7 @@
         }
         call.markPossiblyExecuted();
         AttemptResult.Unknown unknown = (AttemptResult.Unknown) result;
-        if (call.attributes().route().repeatable() && tryAcquireRetry(call, nowNanos)) {
+        if (call.attributes().route().isRetryable() && tryAcquireRetry(call, nowNanos)) {
             return attempt(call, earlierResponse);
         }
         return Mono.just(finalReply(call, earlierResponse, unknown.reason()));
@@ -265,13 +265,13 @@
      */
     private Mono<Reply> replyOrRetry(Call call, Placement placement, BufferedResponse response, long nowNanos) {
         if (!response.isServerError()) {
-            placement.succeeded(nowNanos);
+            placement.recordSuccess(nowNanos);
             failureHandler.recordFinished(call);
             return Mono.just(toReply(response));
         }
-        placement.failedByAnswer(nowNanos);
+        placement.recordErrorResponse(nowNanos);
         call.markPossiblyExecuted();
-        if (call.attributes().route().repeatable() && tryAcquireRetry(call, nowNanos)) {
+        if (call.attributes().route().isRetryable() && tryAcquireRetry(call, nowNanos)) {
             return attempt(call, Optional.of(response));
         }
         return Mono.just(toReply(response));
@@ -281,7 +281,7 @@
     private boolean tryAcquireRetry(Call call, long nowNanos) {
         return call.sendCount() < call.attributes().route().maxAttempts()
                 && call.remainingMillis(nowNanos) >= MIN_REMAINING_MILLIS
-                && state.budget(call.attributes().upstream().name()).tryAcquire(nowNanos);
+                && state.retryBudget(call.attributes().upstream().name()).tryAcquire(nowNanos);
     }
 
     private Flux<byte[]> relay(Call call, Placement placement, StreamedResponse response) {
@@ -289,7 +289,7 @@
         return response.body()
                 .concatMapIterable(framer::append)
                 .doOnNext(event -> {
-                    placement.started();
+                    placement.recordFirstEvent();
                     call.recordEvent(event.id(), loop.nowNanos());
                     recordEventTiming(call);
                 })
@@ -299,12 +299,12 @@
                         : Mono.error(new WorkerConnectionException(
                                 true, new IllegalStateException("stream ended with an incomplete event")))))
                 .doOnComplete(() -> recordCompletion(call, placement))
-                .doFinally(signal -> placement.ended())
+                .doFinally(signal -> placement.end())
                 .onErrorResume(WorkerConnectionException.class, error -> resume(call, placement, error));
     }
 
     private void recordEventTiming(Call call) {
-        EngineModel model = state.model(call.attributes().upstream().name());
+        EngineModel model = state.engineModel(call.attributes().upstream().name());
         if (call.eventCount() > 1) {
             model.recordEventGap(
                     call.lastEventGapMillis(), call.attributes().upstream().tokensPerEvent());
@@ -314,11 +314,11 @@
     }
 
     private void recordCompletion(Call call, Placement placement) {
-        placement.succeeded(loop.nowNanos());
+        placement.recordSuccess(loop.nowNanos());
         failureHandler.recordFinished(call);
         if (EngineQueues.isDelayTolerant(call)) {
             int tokens = call.eventCount() * call.attributes().upstream().tokensPerEvent();
-            state.model(call.attributes().upstream().name()).recordCompletion(tokens);
+            state.engineModel(call.attributes().upstream().name()).recordCompletion(tokens);
         }
     }
 
@@ -327,9 +327,9 @@
      * connection is closed.
      */
     private Flux<byte[]> resume(Call call, Placement placement, WorkerConnectionException error) {
-        placement.failed(loop.nowNanos());
+        placement.recordFailure(loop.nowNanos());
         Mono<Void> handled = failureHandler.handleFailure(call, placement.entry(), error.getMessage());
-        if (!call.attributes().route().repeatable()) {
+        if (!call.attributes().route().isRetryable()) {
             return Flux.error(error);
         }
         return handled.thenMany(Flux.defer(() -> resumeElsewhere(call, error)));
@@ -364,8 +364,8 @@
 
     /** Handles a deadline that passes while a worker has the request, which may still be running there. */
     private Reply handleTimeout(Call call, Placement placement) {
-        placement.ended();
-        placement.failed(loop.nowNanos());
+        placement.end();
+        placement.recordFailure(loop.nowNanos());
         call.markPossiblyExecuted();
         return new Reply.Local(new LocalReply(LocalReply.GATEWAY_TIMEOUT, "timeout", 0));
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/ResponseValidator.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/ResponseValidator.java
@@ -23,7 +23,7 @@
 
     /** Returns whether the response is a successful stream that can be passed on as it arrives. */
     boolean isStreamable(Call call, StreamedResponse response) {
-        return call.attributes().route().streaming()
+        return call.attributes().route().isStreaming()
                 && isFromWorker(call, response)
                 && response.status() / 100 == 2
                 && !isEncoded(response.headers());
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/WorkerSelection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/WorkerSelection.java
@@ -80,7 +80,7 @@
     }
 
     private int maxStreams(Call call) {
-        return state.model(call.attributes().upstream().name()).maxStreamsWithin(typicalCompletionMillis(call));
+        return state.engineModel(call.attributes().upstream().name()).maxStreamsWithin(typicalCompletionMillis(call));
     }
 
     /** Returns the number of free slots at the upstream's engines for calls like this one, shared by all processes. */
@@ -105,7 +105,7 @@
         Call.Attributes attributes = call.attributes();
         EngineSelector selector = new EngineSelector(
                 dataCentre,
-                state.prefixes(),
+                state.cachedPrefixes(),
                 partition(call),
                 attributes.upstream().transfer(),
                 random);
@@ -128,7 +128,7 @@
         String upstream = call.attributes().upstream().name();
         if (call.isSuspect()) {
             Set<String> excluded = new HashSet<>(call.triedWorkers());
-            excluded.addAll(workers.withSuspects());
+            excluded.addAll(workers.withSuspectRequests());
             List<WorkerLoad> withoutSuspects = workers.candidates(upstream, excluded, nowNanos);
             if (!withoutSuspects.isEmpty()) {
                 return withoutSuspects;
@@ -140,7 +140,7 @@
     private Placement place(Call call, WorkerState worker, boolean isInteractive, double prefillMillis, long nowNanos) {
         Placement placement = state.workers().place(worker, isInteractive, prefillMillis, nowNanos);
         if (call.isSuspect()) {
-            placement.suspect();
+            placement.markSuspect();
         }
         return placement;
     }
@@ -154,7 +154,7 @@
         Prompt prompt = call.attributes().prompt().orElseThrow();
         call.recordSend(worker.entry().id(), nowNanos);
         double prefillMillis = prompt.prefillMillis(selected.cachedTokens());
-        state.prefixes().recordSent(prompt, worker.entry().incarnation(), nowNanos);
+        state.cachedPrefixes().recordSent(prompt, worker.entry().incarnation(), nowNanos);
         if (prompt.latencyClass() == LatencyClass.DELAY_TOLERANT) {
             model(call).recordDispatch(prefillMillis, prompt.outputTokens());
         }
@@ -167,10 +167,10 @@
     }
 
     private EnginePartition partition(Call call) {
-        return state.split(call.attributes().upstream().name());
+        return state.enginePartition(call.attributes().upstream().name());
     }
 
     private EngineModel model(Call call) {
-        return state.model(call.attributes().upstream().name());
+        return state.engineModel(call.attributes().upstream().name());
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
@@ -8,7 +8,7 @@
      * @param item its newest state
      * @param nowNanos the time on the monotonic clock
      */
-    void changed(PublishedItem item, long nowNanos);
+    void applyChange(PublishedItem item, long nowNanos);
 
     /**
      * Whether an item's deletion may be undone shortly after the store has come back.
@@ -16,8 +16,8 @@
      * @param key the item's key
      * @return true for entries that their owners renew
      */
-    boolean renewed(String key);
+    boolean isLeased(String key);
 
     /** All items are known up to some revision. */
-    void complete();
+    void completeInitialLoad();
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -33,7 +33,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final PublishedItems items = new PublishedItems();
-    private final StoreDuty duty;
+    private final StoreFollowerElection followerElection;
     private final ItemDecoder decoder;
     private GatewayLoop loop;
     private long holdUntilNanos;
@@ -62,7 +62,7 @@
      */
     public Publications(ItemDecoder decoder, Duration bound, long incarnation) {
         this.decoder = decoder;
-        this.duty = new StoreDuty(bound, incarnation);
+        this.followerElection = new StoreFollowerElection(bound, incarnation);
     }
 
     @Override
@@ -110,8 +110,8 @@
      *
      * @return the decision's state
      */
-    public StoreDuty duty() {
-        return duty;
+    public StoreFollowerElection followerElection() {
+        return followerElection;
     }
 
     /**
@@ -124,7 +124,7 @@
     }
 
     /** The store answers again after it did not. */
-    public void storeBack() {
+    public void recordStoreRecovery() {
         hold(HOLD_MILLIS);
     }
 
@@ -156,7 +156,7 @@
      * @param after the position that they follow, one that was known
      * @param upTo the position up to which they are complete
      */
-    public void changes(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
+    public void applyStoreChanges(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
         apply(items.merge(changes, after, upTo));
         if (!changes.isEmpty()) {
             readListener.read(changes, after, upTo);
@@ -171,7 +171,7 @@
      * @param upTo the position up to which they are complete
      * @return whether any of them was new
      */
-    public boolean relayed(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
+    public boolean applyRelayedChanges(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
         List<ItemChange> news = items.merge(changes, after, upTo);
         apply(news);
         return !news.isEmpty();
@@ -183,11 +183,11 @@
      * @param state all items
      * @param at its position
      */
-    public void read(List<PublishedItem> state, StorePosition at) {
+    public void applyStoreSnapshot(List<PublishedItem> state, StorePosition at) {
         StorePosition before = items.position();
         boolean known = before.revision() > 0;
         if (known && at.era() > before.era()) {
-            storeBack();
+            recordStoreRecovery();
         }
         List<PublishedItem> news = state(state, at);
         if (known && !news.isEmpty()) {
@@ -207,7 +207,7 @@
         apply(news);
         if (!complete && at.revision() > 0) {
             complete = true;
-            decoder.complete();
+            decoder.completeInitialLoad();
         }
         return news.stream().map(ItemChange::item).toList();
     }
@@ -215,25 +215,25 @@
     private void apply(List<ItemChange> news) {
         for (ItemChange change : news) {
             PublishedItem item = change.item();
-            boolean renewed = decoder.renewed(item.key());
+            boolean renewed = decoder.isLeased(item.key());
             long heldMillis = holdMillis();
             if (item.deleted() && heldMillis > 0 && (renewed || change.doubtful())) {
-                loop.after(heldMillis + 1, () -> deleteUnlessBack(item));
+                loop.runAfter(heldMillis + 1, () -> deleteUnlessBack(item));
             } else if (!item.deleted() && renewed && change.doubtful()) {
-                loop.after(COPIED_MILLIS, () -> addUnlessGone(item.key()));
+                loop.runAfter(COPIED_MILLIS, () -> addUnlessGone(item.key()));
             } else {
-                decoder.changed(item, loop.nowNanos());
+                decoder.applyChange(item, loop.nowNanos());
             }
         }
     }
 
     private void deleteUnlessBack(PublishedItem item) {
         if (items.find(item.key()).isEmpty()) {
-            decoder.changed(item, loop.nowNanos());
+            decoder.applyChange(item, loop.nowNanos());
         }
     }
 
     private void addUnlessGone(String key) {
-        items.find(key).ifPresent(item -> decoder.changed(item, loop.nowNanos()));
+        items.find(key).ifPresent(item -> decoder.applyChange(item, loop.nowNanos()));
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreDuty.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
@@ -20,7 +20,7 @@
  * <p>Those that come into question after a loss begin one after the other, in groups that double. If all began at once,
  * a store that turns some processes away would be called by all others until it takes these back.
  */
-public final class StoreDuty {
+public final class StoreFollowerElection {
     private static final long MILLISECOND = 1_000_000L;
 
     /** A call waits for half of the time within which changes must be in force, so that a silent one is noticed in it. */
@@ -90,7 +90,7 @@
      * @param incarnation rises with every start of a process of this name; its answers are counted from there, so that
      *     peers don't take them for older than those of its last life
      */
-    public StoreDuty(Duration bound, long incarnation) {
+    public StoreFollowerElection(Duration bound, long incarnation) {
         boundNanos = bound.toNanos();
         answers = incarnation;
     }
@@ -149,7 +149,7 @@
      *
      * @param nowNanos the time
      */
-    public void answered(long nowNanos) {
+    public void recordStoreAnswer(long nowNanos) {
         follows = true;
         answers++;
         answeredNanos = nowNanos;
@@ -157,7 +157,7 @@
     }
 
     /** The store has not answered this process, or is no longer asked. */
-    public void unanswered() {
+    public void stopFollowing() {
         follows = false;
     }
 
@@ -177,7 +177,7 @@
      * @param nowNanos the time
      * @return false if others do
      */
-    public boolean mustFollow(long nowNanos) {
+    public boolean shouldFollow(long nowNanos) {
         int own = rank();
         int following = 0;
         int before = 0;
@@ -244,7 +244,7 @@
      *
      * @return the time
      */
-    public Duration longestCall() {
+    public Duration longPollTimeout() {
         return Duration.ofNanos(part(CALL_PART));
     }
 
@@ -253,7 +253,7 @@
      *
      * @return the time
      */
-    public Duration betweenCalls() {
+    public Duration batchDelay() {
         return Duration.ofNanos(part(GATHER_PART));
     }
 
@@ -265,7 +265,7 @@
      * @param failures calls that have failed one after the other, this one included
      * @return the pause
      */
-    public long pauseMillis(long pauseMillis, int failures) {
+    public long retryDelayMillis(long pauseMillis, int failures) {
         int turns = failures == 1 ? rank() / ASKING + 1 : ranks.size() / ASKING;
         return pauseMillis * Math.max(1, turns);
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Route.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Route.java
@@ -45,8 +45,8 @@
      *
      * @return true for idempotent requests and streams that may be resumed
      */
-    public boolean repeatable() {
-        return kind == RequestKind.IDEMPOTENT || streaming() && resumable;
+    public boolean isRetryable() {
+        return kind == RequestKind.IDEMPOTENT || isStreaming() && resumable;
     }
 
     /**
@@ -54,7 +54,7 @@
      *
      * @return true for streams
      */
-    public boolean streaming() {
+    public boolean isStreaming() {
         return kind == RequestKind.STREAMING;
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -26,7 +26,7 @@
     }
 
     /** A worker crashed under this request before. */
-    public void suspect() {
+    public void markSuspect() {
         if (!suspect) {
             suspect = true;
             worker.suspectBegan();
@@ -34,7 +34,7 @@
     }
 
     /** The prompt has been read: the first event is here. */
-    public void started() {
+    public void recordFirstEvent() {
         if (!started) {
             started = true;
             worker.prefilled(prefillMillis);
@@ -42,9 +42,9 @@
     }
 
     /** The request is no longer there. */
-    public void ended() {
+    public void end() {
         if (!ended) {
-            started();
+            recordFirstEvent();
             ended = true;
             worker.end(interactive);
             if (suspect) {
@@ -58,7 +58,7 @@
      *
      * @param nowNanos the time
      */
-    public void succeeded(long nowNanos) {
+    public void recordSuccess(long nowNanos) {
         worker.trust().recordSuccess(nowNanos);
         worker.outcomes().recordSuccess(nowNanos);
     }
@@ -68,7 +68,7 @@
      *
      * @param nowNanos the time
      */
-    public void notReached(long nowNanos) {
+    public void recordConnectFailure(long nowNanos) {
         worker.coldPeriod().assumeRestarted(nowNanos);
         worker.trust().recordConnectFailure(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
@@ -79,7 +79,7 @@
      *
      * @param nowNanos the time
      */
-    public void failedByAnswer(long nowNanos) {
+    public void recordErrorResponse(long nowNanos) {
         worker.trust().recordErrorResponse(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
     }
@@ -90,7 +90,7 @@
      *
      * @param nowNanos the time
      */
-    public void refused(long nowNanos) {
+    public void recordRejection(long nowNanos) {
         worker.trust().recordFailure(nowNanos);
     }
 
@@ -99,7 +99,7 @@
      *
      * @param nowNanos the time
      */
-    public void failed(long nowNanos) {
+    public void recordFailure(long nowNanos) {
         worker.coldPeriod().assumeRestarted(nowNanos);
         worker.trust().recordFailure(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
@@ -55,7 +55,7 @@
      * @param entry the worker
      * @param nowNanos the time
      */
-    public void published(WorkerEntry entry, long nowNanos) {
+    public void addOrUpdate(WorkerEntry entry, long nowNanos) {
         WorkerState known = byId.get(entry.id());
         if (known != null && entry.startMillis() < known.entry().startMillis()) {
             return;
@@ -127,7 +127,7 @@
      * @param id its name
      * @return what was known of it
      */
-    public Optional<WorkerEntry> gone(String id) {
+    public Optional<WorkerEntry> remove(String id) {
         holdersKnown = false;
         WorkerState gone = byId.remove(id);
         ended(gone);
@@ -226,7 +226,7 @@
      *
      * @return their names
      */
-    public List<String> withSuspects() {
+    public List<String> withSuspectRequests() {
         return byId.values().stream()
                 .filter(WorkerState::hasSuspects)
                 .map(worker -> worker.entry().id())
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -85,8 +85,8 @@
         Workers process = fleet.get(0);
         assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
         Placement placement = process.place(process.find("w").orElseThrow(), false, 0, 5 * SECOND);
-        placement.notReached(5 * SECOND);
-        placement.ended();
+        placement.recordConnectFailure(5 * SECOND);
+        placement.end();
         assertThat(state(process, 7 * SECOND)).isEqualTo(SendPermission.RATE_LIMITED);
         assertThat(state(process, 8 * SECOND + MILLI)).isEqualTo(SendPermission.UNLIMITED);
     }
@@ -139,7 +139,7 @@
 
     private void publish(long coldMillis, long nowNanos) {
         WorkerEntry entry = new WorkerEntry("w", 1, "u", "10.0.0.1", 8000, "dc", 64, false, coldMillis);
-        fleet.forEach(process -> process.published(entry, nowNanos));
+        fleet.forEach(process -> process.addOrUpdate(entry, nowNanos));
     }
 
     /** Every process sends as much as it may. */
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
@@ -24,7 +24,7 @@
         assertThat(ids()).containsExactly("new");
         publish(entry("old", 1, true));
         assertThat(ids()).containsExactly("new");
-        workers.gone("old");
+        workers.remove("old");
         assertThat(ids()).containsExactly("new");
     }
 
@@ -56,7 +56,7 @@
         publish(started("a", 1_000, "u"));
         WorkerState before = workers.find("a").orElseThrow();
         Placement placement = workers.place(before, true, 50, SECOND);
-        placement.notReached(SECOND);
+        placement.recordConnectFailure(SECOND);
         int incarnation = before.incarnation();
         workers.peerLoad("p1", PeerLoads.Scope.OWN, Map.of(incarnation, new PeerLoads.Load(2, 1, 30, 0, 9)), SECOND);
         WorkerLoad load = workers.candidates("u", Set.of(), SECOND).get(0);
@@ -70,8 +70,8 @@
         assertThat(load.prefillMillis()).isZero();
         assertThat(load.suspected()).isFalse();
 
-        placement.failed(SECOND);
-        placement.ended();
+        placement.recordFailure(SECOND);
+        placement.end();
         load = workers.candidates("u", Set.of(), SECOND).get(0);
         assertThat(load.inFlight()).isZero();
         assertThat(load.suspected()).isFalse();
@@ -191,11 +191,11 @@
         WorkerState worker = workers.find("a").orElseThrow();
         Placement placement = workers.place(worker, true, 50, SECOND);
         assertThat(workers.own(0)).containsEntry("a".hashCode(), new PeerLoads.Load(1, 1, 50, 0, 0));
-        placement.started();
-        placement.started();
+        placement.recordFirstEvent();
+        placement.recordFirstEvent();
         assertThat(workers.own(0)).containsEntry("a".hashCode(), new PeerLoads.Load(1, 1, 0, 0, 0));
-        placement.ended();
-        placement.ended();
+        placement.end();
+        placement.end();
         assertThat(workers.own(0)).isEmpty();
     }
 
@@ -204,7 +204,7 @@
     }
 
     private void publish(WorkerEntry entry) {
-        workers.published(entry, SECOND);
+        workers.addOrUpdate(entry, SECOND);
     }
 
     private void publishFour() {
