--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Customer.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Customer.java
@@ -3,9 +3,10 @@
 import java.util.OptionalInt;
 
 /**
- * Who sends requests under a set of keys.
+ * A customer, who authenticates requests with one of its API keys.
  *
  * @param name its name
- * @param priority urgency of its requests, 0 the highest; it orders those of routes with the same priority
+ * @param priority urgency of its requests among those of routes with the same priority, 0 the highest; if empty, they
+ *     rank with the least urgent ones
  */
 public record Customer(String name, OptionalInt priority) {}
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RequestKind.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RequestKind.java
@@ -1,11 +1,11 @@
 package org.dotterelcourse.gateway.routing;
 
-/** What may be repeated, and how the answer comes. */
+/** Whether the requests of a route may be retried, and how responses are sent. */
 public enum RequestKind {
-    /** May run more than once. */
+    /** May be executed more than once. */
     IDEMPOTENT,
-    /** Runs once at most. */
+    /** Is executed at most once. */
     NON_IDEMPOTENT,
-    /** Is answered by a series of events; runs once at most, unless it may be resumed. */
+    /** The response is a stream of events. Is executed at most once, unless the stream is resumable. */
     STREAMING
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RequestLimits.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RequestLimits.java
@@ -1,8 +1,8 @@
 package org.dotterelcourse.gateway.routing;
 
 /**
- * What a client may send.
+ * Limits on the requests of clients.
  *
- * @param maxBodyBytes largest request body
+ * @param maxBodyBytes largest size of a request body in bytes
  */
 public record RequestLimits(int maxBodyBytes) {}
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Route.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/Route.java
@@ -4,20 +4,21 @@
 import java.util.Objects;
 
 /**
- * Where requests of one host and path go, and what they are promised.
+ * A rule that maps requests for one host and path prefix to upstreams, with their latency targets and retry policy.
  *
  * @param name its name
- * @param host the host that it is for, in lower case and without a port
- * @param pathPrefix the paths that it is for; begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMillis the longest time until a request has its final answer
- * @param targetMillis the latency target; of streams, until the first event
- * @param gapTargetMillis the longest pause between events for which a stream is on time, 0 for other kinds
- * @param priority urgency, 0 the highest; it goes before the customers'
- * @param upstreams upstreams with their shares of the requests
- * @param maxAttempts to how many workers one request may be sent
- * @param anonymous whether requests need no key
- * @param resumable whether a stream that broke may go on at another worker
+ * @param host the host that it matches, in lower case and without a port
+ * @param pathPrefix the path prefix that it matches; begins and ends with a slash
+ * @param kind how responses are sent and whether requests may be retried
+ * @param timeoutMillis time limit in milliseconds for the complete response to a request, retries included
+ * @param targetMillis latency target in milliseconds; for streams, until the first event
+ * @param gapTargetMillis longest gap between two events in milliseconds with which a stream meets its target, 0 for
+ *     other kinds
+ * @param priority urgency of the requests, 0 the highest; takes precedence over the priority of the customer
+ * @param upstreams the upstreams and their weights
+ * @param maxAttempts largest number of workers to which one request may be sent
+ * @param anonymous whether requests need no API key
+ * @param resumable whether an interrupted stream may be resumed at another worker
  */
 public record Route(
         String name,
@@ -35,34 +36,34 @@
     /**
      * An upstream's share of a route's requests.
      *
-     * @param upstream its name
-     * @param weight its share beside the other weights of the route
+     * @param upstream name of the upstream
+     * @param weight its share, relative to the sum of the weights of the route
      */
     public record UpstreamShare(String upstream, int weight) {}
 
     /**
-     * Whether a request may run again after it may have run.
+     * Returns whether a request may be retried when a worker may have executed it already.
      *
-     * @return true for idempotent requests and streams that may be resumed
+     * @return true for idempotent requests and resumable streams
      */
     public boolean isRetryable() {
         return kind == RequestKind.IDEMPOTENT || isStreaming() && resumable;
     }
 
     /**
-     * Whether the answer is a series of events.
+     * Returns whether responses are streams of events.
      *
-     * @return true for streams
+     * @return true for {@link RequestKind#STREAMING}
      */
     public boolean isStreaming() {
         return kind == RequestKind.STREAMING;
     }
 
     /**
-     * The upstream for one request, by weight.
+     * Chooses the upstream for a request by hashing its id, in proportion to the weights.
      *
-     * @param requestId the same id goes to the same upstream
-     * @return the upstream's name
+     * @param requestId id of the request; equal ids yield the same upstream
+     * @return name of the upstream
      */
     public String upstreamFor(String requestId) {
         int total = upstreams.stream().mapToInt(UpstreamShare::weight).sum();
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RoutingTable.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/RoutingTable.java
@@ -11,13 +11,16 @@
 
 import org.dotterelcourse.policy.cold.ColdStart;
 
-/** One published configuration. Immutable; of two tables the one with the higher number is the newer. */
+/**
+ * The routes, upstreams, customers and limits of one published configuration. Immutable; of two tables, the one with
+ * the higher number is newer.
+ */
 public final class RoutingTable {
     private final long number;
     private final Map<String, List<Route>> routesByHost = new HashMap<>();
     private final Map<String, UpstreamSpec> upstreams = new HashMap<>();
     private final Map<String, Customer> customersByKey;
-    private final UrgencyLevels urgency;
+    private final UrgencyLevels urgencyLevels;
     private final boolean requiresKey;
     private final RequestLimits limits;
 
@@ -34,45 +37,45 @@
         routesByHost.values().forEach(routes -> routes.sort(longestFirst));
         builder.upstreams.forEach(upstream -> upstreams.put(upstream.name(), upstream));
         customersByKey = Map.copyOf(builder.customersByKey);
-        urgency = new UrgencyLevels(builder.routes, builder.customersByKey.values());
+        urgencyLevels = new UrgencyLevels(builder.routes, builder.customersByKey.values());
         requiresKey = builder.requiresKey;
         limits = builder.limits;
     }
 
     /**
-     * Starts a table.
+     * Creates a builder.
      *
-     * @param number its number
-     * @return a builder
+     * @param number sequence number under which the configuration was published
+     * @return the builder, without routes, upstreams and customers
      */
     public static Builder builder(long number) {
         return new Builder(number);
     }
 
     /**
-     * The number that the table was published under.
+     * Returns the sequence number of this configuration.
      *
-     * @return rises with each publication
+     * @return a number that increases with each publication
      */
     public long number() {
         return number;
     }
 
     /**
-     * Bounds on requests.
+     * Returns the limits on requests.
      *
-     * @return the limits
+     * @return the limits, which apply to all routes
      */
     public RequestLimits limits() {
         return limits;
     }
 
     /**
-     * Finds the route for a request: of those of its host, the one with the longest prefix of its path.
+     * Finds the route for a request: among the routes for its host, the one with the longest matching path prefix.
      *
-     * @param hostHeader the host as the client sent it, with or without a port
-     * @param path the path without its query
-     * @return the route; empty if there is none
+     * @param hostHeader value of the Host header, with or without a port
+     * @param path path of the request, without the query
+     * @return the route; empty if none matches
      */
     public Optional<Route> route(String hostHeader, String path) {
         List<Route> routes = routesByHost.getOrDefault(normalizeHost(hostHeader), List.of());
@@ -82,68 +85,68 @@
     }
 
     /**
-     * Finds an upstream.
+     * Returns the configuration of an upstream.
      *
-     * @param name its name
-     * @return the upstream; a plain service if nothing was published of it
+     * @param name name of the upstream
+     * @return its configuration; that of a plain service without a limit for cold workers if none was published
      */
     public UpstreamSpec upstream(String name) {
         return upstreams.getOrDefault(name, UpstreamSpec.plain(name, ColdStart.none()));
     }
 
     /**
-     * Whether an upstream was published.
+     * Returns whether an upstream was published.
      *
-     * @param name its name
-     * @return true if it was
+     * @param name name of the upstream
+     * @return true if this configuration contains it
      */
     public boolean hasUpstream(String name) {
         return upstreams.containsKey(name);
     }
 
     /**
-     * Whether requests need a customer's key, but on anonymous routes.
+     * Returns whether requests need a customer's API key, except on anonymous routes.
      *
-     * @return true if customers were published
+     * @return true if customers were published, or if keys are required anyway
      */
     public boolean requiresKey() {
         return requiresKey;
     }
 
     /**
-     * Finds the customer that holds a key.
+     * Finds the customer that an API key belongs to.
      *
-     * @param key the key
-     * @return the customer; empty if nobody holds the key
+     * @param key the key, as sent by the client
+     * @return the customer; empty if the key is unknown
      */
     public Optional<Customer> customer(String key) {
         return Optional.ofNullable(customersByKey.get(key));
     }
 
     /**
-     * How urgent a request is among all others: by its route's priority first, then by its customer's.
+     * Returns the urgency level of a request, derived from the priority of its route, then from that of its customer.
      *
-     * @param route its route
-     * @param customer whose it is
-     * @return 0, the most urgent, to 9
+     * @param route route of the request
+     * @param customer customer that sent the request; empty on anonymous routes
+     * @return the level, from 0 for the most urgent requests to 9
      */
     public int urgency(Route route, Optional<Customer> customer) {
-        return urgency.of(route, customer.map(Customer::priority).orElse(OptionalInt.empty()));
+        return urgencyLevels.level(route, customer.map(Customer::priority).orElse(OptionalInt.empty()));
     }
 
     /**
      * Normalizes a host name.
      *
-     * @param header the host as a client sends it
-     * @return lower case, without a port
+     * @param header value of a Host header
+     * @return the host in lower case, without a port
      */
     public static String normalizeHost(String header) {
         int colon = header.lastIndexOf(':');
-        boolean port = colon > header.lastIndexOf(']');
-        return (port && colon >= 0 ? header.substring(0, colon) : header).toLowerCase(Locale.ROOT);
+        boolean hasPort = colon > header.lastIndexOf(']');
+        return (hasPort && colon >= 0 ? header.substring(0, colon) : header).toLowerCase(Locale.ROOT);
     }
 
-    /** Builds a table. */
+    /** Builder for routing tables. */
     public static final class Builder {
         private static final RequestLimits DEFAULT_LIMITS = new RequestLimits(4 << 20);
 
@@ -161,7 +164,7 @@
         /**
          * Adds a route.
          *
-         * @param route the route
+         * @param route a route; those for the same host may be added in any order
          * @return this builder
          */
         public Builder route(Route route) {
@@ -172,7 +175,7 @@
         /**
          * Adds an upstream.
          *
-         * @param upstream the upstream
+         * @param upstream configuration of the upstream; replaces an earlier one of the same name
          * @return this builder
          */
         public Builder upstream(UpstreamSpec upstream) {
@@ -184,7 +187,7 @@
          * Adds a customer.
          *
          * @param customer the customer
-         * @param keys the keys that it holds
+         * @param keys its API keys
          * @return this builder
          */
         public Builder customer(Customer customer, List<String> keys) {
@@ -194,7 +197,7 @@
         }
 
         /**
-         * Requires keys also while no customer holds any.
+         * Requires API keys even if no customer is added.
          *
          * @return this builder
          */
@@ -204,9 +207,9 @@
         }
 
         /**
-         * Sets the bounds on requests.
+         * Sets the limits on requests. The default is a body of 4 MiB.
          *
-         * @param value the limits
+         * @param value limits for all routes
          * @return this builder
          */
         public Builder limits(RequestLimits value) {
@@ -215,9 +218,9 @@
         }
 
         /**
-         * Ends the building.
+         * Builds the table.
          *
-         * @return the table
+         * @return an immutable table with everything added so far
          */
         public RoutingTable build() {
             return new RoutingTable(this);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/UrgencyLevels.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/UrgencyLevels.java
@@ -7,40 +7,41 @@
 import java.util.TreeSet;
 
 /**
- * The order of all requests of a configuration by urgency: first by the priority of the route, then by that of the
- * customer.
+ * Maps the priorities of routes and customers to the urgency levels of engines: requests are ordered by the priority of
+ * the route, then by that of the customer.
  *
- * <p>Engines preempt the least urgent when they run out of memory, and queue by urgency. By the customer alone, an
- * interactive answer would be preempted as readily as a long draft, and wait behind one: of 163 requests that were preempted
- * in a day, 65 were of more urgent routes than others that ran on. By the customer first, the long drafts of one customer
- * would push out the interactive answers of all others: 32 in a burst of some seconds.
+ * <p>Engines queue requests by urgency and preempt the least urgent ones when they run out of memory. If only the
+ * customer's priority counted, interactive responses would be queued and preempted like long drafts: of 163 requests
+ * preempted in a day, 65 were of more urgent routes than others that continued. If the customer's priority came first,
+ * the long drafts of one customer would preempt the interactive responses of all others: 32 in a burst of a few
+ * seconds.
  */
 final class UrgencyLevels {
-    /** Engines tell ten levels apart, 0 the most urgent. */
-    private static final int MOST_LEVELS = 10;
+    /** Engines distinguish ten levels, 0 being the most urgent. */
+    private static final int MAX_LEVELS = 10;
 
-    private final NavigableSet<Integer> customers = new TreeSet<>();
-    private final NavigableSet<Integer> routes = new TreeSet<>();
+    private final NavigableSet<Integer> customerPriorities = new TreeSet<>();
+    private final NavigableSet<Integer> routePriorities = new TreeSet<>();
 
     UrgencyLevels(List<Route> routes, Collection<Customer> customers) {
-        routes.forEach(route -> this.routes.add(route.priority()));
-        customers.forEach(customer -> customer.priority().ifPresent(this.customers::add));
+        routes.forEach(route -> routePriorities.add(route.priority()));
+        customers.forEach(customer -> customer.priority().ifPresent(customerPriorities::add));
     }
 
     /**
-     * The level of a request. A customer without a priority ranks with the least urgent.
+     * Returns the urgency level of a request. Customers without a priority rank with the least urgent ones.
      *
-     * @param route the request's route
-     * @param customer the priority of whose it is
-     * @return 0, the most urgent, to 9
+     * @param route route of the request
+     * @param customerPriority priority of the customer that sent the request, if any
+     * @return the level, from 0 for the most urgent requests to 9
      */
-    int of(Route route, OptionalInt customer) {
-        int byRoute = routes.headSet(route.priority()).size();
-        int byCustomer = customer.isPresent()
-                ? customers.headSet(customer.getAsInt()).size()
-                : Math.max(0, customers.size() - 1);
-        int level = byRoute * Math.max(1, customers.size()) + byCustomer;
-        int last = Math.max(1, customers.size()) * Math.max(1, routes.size()) - 1;
-        return last < MOST_LEVELS ? level : level * (MOST_LEVELS - 1) / last;
+    int level(Route route, OptionalInt customerPriority) {
+        int routeRank = routePriorities.headSet(route.priority()).size();
+        int customerRank = customerPriority.isPresent()
+                ? customerPriorities.headSet(customerPriority.getAsInt()).size()
+                : Math.max(0, customerPriorities.size() - 1);
+        int level = routeRank * Math.max(1, customerPriorities.size()) + customerRank;
+        int maxLevel = Math.max(1, customerPriorities.size()) * Math.max(1, routePriorities.size()) - 1;
+        return maxLevel < MAX_LEVELS ? level : level * (MAX_LEVELS - 1) / maxLevel;
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/package-info.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/routing/package-info.java
@@ -1,2 +1,2 @@
-/** What is published of routes, upstreams and customers, as one immutable table with a number. */
+/** Routes, upstreams and customers of one published configuration, as an immutable table with a sequence number. */
 package org.dotterelcourse.gateway.routing;
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/routing/RoutingTableTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/routing/RoutingTableTest.java
@@ -18,27 +18,27 @@
             .build();
 
     @Test
-    void theRouteWithTheLongestPrefixIsChosen() {
+    void theRouteWithTheLongestMatchingPrefixIsChosen() {
         assertThat(table.route("a.example", "/x/y/z").orElseThrow().name()).isEqualTo("deep");
         assertThat(table.route("a.example", "/x/z").orElseThrow().name()).isEqualTo("shallow");
         assertThat(table.route("a.example", "/xy").orElseThrow().name()).isEqualTo("all");
     }
 
     @Test
-    void hostsAreComparedWithoutPortAndCase() {
+    void hostsAreMatchedWithoutPortAndCase() {
         assertThat(table.route("A.Example:8080", "/x/1")).isPresent();
         assertThat(table.route("b.example", "/x/1")).isEmpty();
     }
 
     @Test
-    void aKeyFindsItsCustomer() {
+    void aCustomerIsFoundByAnyOfItsKeys() {
         assertThat(table.requiresKey()).isTrue();
         assertThat(table.customer("key-2").orElseThrow().name()).isEqualTo("school");
         assertThat(table.customer("")).isEmpty();
     }
 
     @Test
-    void requestsAreSharedBetweenUpstreamsByWeight() {
+    void requestsAreDividedAmongUpstreamsInProportionToTheirWeights() {
         Route route = new Route(
                 "r",
                 "a.example",
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/routing/UrgencyLevelsTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/routing/UrgencyLevelsTest.java
@@ -14,21 +14,20 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class UrgencyLevelsTest {
-    // Every customer has the same priority. Had it replaced those of the routes, an interactive answer would be worth
-    // as
-    // little to an engine that runs out of memory as a long draft, and be preempted for it.
+    // All customers have the same priority. If it replaced the priority of the route, an engine that runs out of memory
+    // would preempt interactive responses as readily as long drafts.
     @Test
-    void routesOfCustomersThatAreAllAlikeKeepTheirOrder() {
+    void routesKeepTheirOrderIfAllCustomersHaveTheSamePriority() {
         RoutingTable table = table(List.of(0, 1, 2), List.of(1, 1));
         assertThat(urgency(table, 0, 1)).isLessThan(urgency(table, 1, 1));
         assertThat(urgency(table, 1, 1)).isLessThan(urgency(table, 2, 1));
     }
 
-    // One customer is more urgent than the others and sends a burst of long drafts. Had it gone before their routes,
-    // engines
-    // without memory left would have preempted everybody's interactive answers for its drafts.
+    // One customer is more urgent than the others and sends a burst of long drafts. If its priority took precedence
+    // over that of the routes, engines without free memory would preempt the interactive responses of all others for
+    // its drafts.
     @Test
-    void aMoreUrgentCustomerGoesFirstAmongThoseOfARouteOnly() {
+    void aMoreUrgentCustomerTakesPrecedenceOnlyWithinARoute() {
         RoutingTable table = table(List.of(0, 1, 2), List.of(0, 1));
         assertThat(urgency(table, 2, 0)).isLessThan(urgency(table, 2, 1));
         assertThat(urgency(table, 1, 1)).isLessThan(urgency(table, 2, 0));
@@ -36,14 +35,14 @@
     }
 
     @Test
-    void withoutPrioritiesOfCustomersTheRoutesDecide() {
+    void routesDecideIfCustomersHaveNoPriorities() {
         RoutingTable table = table(List.of(0, 2), List.of());
         assertThat(table.urgency(route(0), Optional.empty())).isZero();
         assertThat(table.urgency(route(2), Optional.empty())).isEqualTo(1);
     }
 
     @Property(tries = 300, seed = "7")
-    void theOrderIsKeptWithinTenLevels(
+    void theOrderIsPreservedWithinTenLevels(
             @ForAll @Size(min = 1, max = 6) List<@IntRange(max = 20) Integer> routes,
             @ForAll @Size(min = 1, max = 6) List<@IntRange(max = 20) Integer> customers) {
         RoutingTable table = table(routes, customers);
