--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
@@ -15,26 +15,26 @@
 import reactor.netty.resources.LoopResources;
 
 /**
- * The one thread that takes requests, sends them on and decides about them, so that no decision needs a lock. Entry VMs
- * have less than one core, so that more threads would only take turns.
+ * The single event loop that accepts and forwards requests and runs all decisions about them, so that none of them
+ * needs a lock. The VMs that clients connect to have less than one core, so more threads would add no capacity.
  */
 public final class GatewayLoop implements Service {
-    /** The name that it is found by. */
+    /** Name of this service in the kernel. */
     public static final ServiceName<GatewayLoop> NAME = new ServiceName<>("gateway-loop", GatewayLoop.class);
 
     private static final Logger LOG = Logger.getLogger(GatewayLoop.class);
 
-    /** How long the latest timer counts: about the period of those that always run. */
-    private static final long LATE_KEPT_NANOS = 100_000_000L;
+    /** How long a measured lag is kept: about the period of the periodic timers. */
+    private static final long LAG_RETENTION_NANOS = 100_000_000L;
 
     private final LoopResources resources = LoopResources.create("gateway", 1, 1, true);
     private final EventLoop loop = resources.onServer(false).next();
     private final Scheduler scheduler = Schedulers.fromExecutorService(loop, "gateway");
-    /** When the timers that have not run yet are due; any thread may set one. */
-    private final PriorityBlockingQueue<Long> due = new PriorityBlockingQueue<>();
+    /** Due times of pending timers. Concurrent, because any thread may schedule a timer. */
+    private final PriorityBlockingQueue<Long> dueTimes = new PriorityBlockingQueue<>();
 
-    private long lateNanos;
-    private long lateSinceNanos;
+    private long lagNanos;
+    private long lagMeasuredNanos;
 
     @Override
     public ServiceName<GatewayLoop> name() {
@@ -57,46 +57,47 @@
     }
 
     /**
-     * The thread for servers and clients.
+     * Returns the event loop for servers and clients of Reactor Netty.
      *
-     * @return the loop in Reactor Netty's form
+     * @return loop resources with this loop alone
      */
     public LoopResources resources() {
         return resources;
     }
 
     /**
-     * The thread for timers of reactive chains.
+     * Returns the event loop as a scheduler, for timers of reactive chains.
      *
-     * @return the loop in Reactor's form
+     * @return a scheduler that runs its tasks on this loop
      */
     public Scheduler scheduler() {
         return scheduler;
     }
 
     /**
-     * Runs a task soon.
+     * Runs a task on the loop. May be called on any thread.
      *
-     * @param task must not block
+     * @param task must not block; exceptions are logged
      */
     public void execute(Runnable task) {
-        loop.execute(guarded(task));
+        loop.execute(logExceptions(task));
     }
 
     /**
-     * The thread itself, for sockets of other parts.
+     * Returns the event loop, for sockets that other services register on it.
      *
-     * @return the loop in Netty's form
+     * @return the loop as a Netty event loop
      */
     public EventLoop eventLoop() {
         return loop;
     }
 
     /**
-     * Runs a task at the next multiple of a period, so that tasks of the same period wake the process once.
+     * Runs a task once at the next multiple of a period, so that tasks with the same period run in the same wake-up of
+     * the process. May be called on any thread.
      *
-     * @param periodMillis the period
-     * @param task must not block
+     * @param periodMillis the period in milliseconds
+     * @param task must not block; exceptions are logged
      */
     public void runAtNextMultiple(long periodMillis, Runnable task) {
         long periodNanos = TimeUnit.MILLISECONDS.toNanos(periodMillis);
@@ -104,62 +105,66 @@
     }
 
     /**
-     * Runs a task once after a time.
+     * Runs a task once after a delay. May be called on any thread.
      *
-     * @param millis the time
-     * @param task must not block
+     * @param delayMillis the delay in milliseconds
+     * @param task must not block; exceptions are logged
      */
-    public void runAfter(long millis, Runnable task) {
-        schedule(task, TimeUnit.MILLISECONDS.toNanos(millis));
+    public void runAfter(long delayMillis, Runnable task) {
+        schedule(task, TimeUnit.MILLISECONDS.toNanos(delayMillis));
     }
 
     private void schedule(Runnable task, long delayNanos) {
         long dueNanos = nowNanos() + delayNanos;
-        due.add(dueNanos);
-        Runnable guarded = guarded(task);
-        Runnable timed = () -> {
-            ran(dueNanos);
-            guarded.run();
+        dueTimes.add(dueNanos);
+        Runnable safeTask = logExceptions(task);
+        Runnable timedTask = () -> {
+            recordLag(dueNanos);
+            safeTask.run();
         };
-        loop.schedule(timed, delayNanos, TimeUnit.NANOSECONDS);
+        loop.schedule(timedTask, delayNanos, TimeUnit.NANOSECONDS);
     }
 
-    /** Of timers that run one after the other, the first was due first; it tells how long the thread was away. */
-    private void ran(long dueNanos) {
+    /**
+     * Records the lag of a timer. Of timers that run in one batch, the first one was due first and has the largest lag,
+     * which shows how long the thread was busy.
+     */
+    private void recordLag(long dueNanos) {
         long now = nowNanos();
-        due.remove(dueNanos);
-        if (now - dueNanos >= lateNanos || now - lateSinceNanos > LATE_KEPT_NANOS) {
-            lateNanos = now - dueNanos;
-            lateSinceNanos = now;
+        dueTimes.remove(dueNanos);
+        if (now - dueNanos >= lagNanos || now - lagMeasuredNanos > LAG_RETENTION_NANOS) {
+            lagNanos = now - dueNanos;
+            lagMeasuredNanos = now;
         }
     }
 
     /**
-     * How far the thread is behind: how late the latest of its timers lately was, or is by now. Only on this thread.
+     * Returns the lag of the event loop: the largest recent delay of a timer, or that of a timer which is overdue now.
+     * Must be called on the loop.
      *
-     * @return milliseconds
+     * @return the lag in milliseconds
      */
     public long lagMillis() {
-        Long first = due.peek();
-        long waitingNanos = first == null ? 0 : nowNanos() - first;
-        return TimeUnit.NANOSECONDS.toMillis(Math.max(lateNanos, waitingNanos));
+        Long earliest = dueTimes.peek();
+        long overdueNanos = earliest == null ? 0 : nowNanos() - earliest;
+        return TimeUnit.NANOSECONDS.toMillis(Math.max(lagNanos, overdueNanos));
     }
 
     /**
-     * The monotonic clock of all decisions.
+     * Returns the current time of the monotonic clock that all decisions of the gateway use.
      *
-     * @return nanoseconds since some fixed moment in the life of the process
+     * @return nanoseconds since an arbitrary origin, which is fixed for the life of the process
      */
     public long nowNanos() {
         return System.nanoTime();
     }
 
-    private static Runnable guarded(Runnable task) {
+    private static Runnable logExceptions(Runnable task) {
         return () -> {
             try {
                 task.run();
             } catch (RuntimeException e) {
-                LOG.error("a task of the gateway failed", e);
+                LOG.error("task on the gateway loop failed; the loop continues", e);
             }
         };
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -24,40 +24,44 @@
 import org.dotterelcourse.policy.selection.EngineModel;
 import org.dotterelcourse.policy.selection.EnginePartition;
 
-/** What the gateway believes: the routing table in force, the workers, the budgets. Used on the gateway's loop only. */
+/**
+ * The gateway's view of the platform and the fleet: the active routing table, the workers, the retry budgets and what
+ * was learned about engines and requests. Not thread-safe; used on the gateway's event loop only, except for {@link
+ * #table} and {@link #isReady}.
+ */
 public final class GatewayState implements Service {
-    /** The name that it is found by. */
+    /** Name of this service in the kernel. */
     public static final ServiceName<GatewayState> NAME = new ServiceName<>("gateway-state", GatewayState.class);
 
     private final Workers workers = new Workers();
-    private final Map<String, WindowedRetryBudget> budgets = new HashMap<>();
+    private final Map<String, WindowedRetryBudget> retryBudgets = new HashMap<>();
     private final Map<String, EnginePartition> enginePartitions = new HashMap<>();
-    private final Map<String, EngineModel> models = new HashMap<>();
+    private final Map<String, EngineModel> engineModels = new HashMap<>();
     private final RequestQuarantine quarantine = new RequestQuarantine();
     private final CachedPrefixes cachedPrefixes = new CachedPrefixes();
-    private final RetryLimit limit;
+    private final RetryLimit retryLimit;
     private AuditTrail audit;
     private volatile RoutingTable table;
     private volatile boolean workersLoaded;
-    private int processes = 1;
+    private int maxProcesses = 1;
     private int reachableProcesses = 1;
 
     /**
-     * The fleet's bound on repeats to one upstream.
+     * The fleet's limit on retries to one upstream.
      *
-     * @param ratio repeats for each request
-     * @param extra repeats in a window beside these, of all processes together
-     * @param windowNanos the window's length
+     * @param ratio retries allowed per request
+     * @param extra additional retries allowed per window, for all processes together
+     * @param windowNanos length of the window in nanoseconds
      */
     public record RetryLimit(double ratio, double extra, long windowNanos) {}
 
     /**
-     * Makes a state that knows nothing.
+     * Creates a state without a routing table and workers.
      *
-     * @param limit the bound on repeats
+     * @param retryLimit limit on retries, which applies to each upstream separately
      */
-    public GatewayState(RetryLimit limit) {
-        this.limit = limit;
+    public GatewayState(RetryLimit retryLimit) {
+        this.retryLimit = retryLimit;
     }
 
     @Override
@@ -78,22 +82,22 @@
 
     @Override
     public void stop() {
-        // It holds no resources.
+        // Holds no resources.
     }
 
     /**
-     * The routing table in force.
+     * Returns the active routing table. May be called on any thread.
      *
-     * @return empty until one is known
+     * @return the table; empty until the first one is activated
      */
     public Optional<RoutingTable> table() {
         return Optional.ofNullable(table);
     }
 
     /**
-     * Puts a routing table in force, unless one with a higher number is.
+     * Activates a routing table, unless the active one has the same or a higher number.
      *
-     * @param next the table
+     * @param next the published table
      */
     public void activate(RoutingTable next) {
         long before = table == null ? 0 : table.number();
@@ -101,19 +105,20 @@
             return;
         }
         table = next;
-        workers.upstreams(next::hasUpstream, upstream -> next.upstream(upstream).coldStart());
+        workers.configureUpstreams(
+                next::hasUpstream, upstream -> next.upstream(upstream).coldStart());
         audit.add(AuditEvent.Kind.CONFIGURATION, "routing", "published", "" + before, "" + next.number());
     }
 
     /**
-     * A worker is published or has changed.
+     * Adds a published worker or updates its entry.
      *
-     * @param entry the worker
-     * @param nowNanos the time
+     * @param entry the published entry
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void updateWorker(WorkerEntry entry, long nowNanos) {
         String before =
-                workers.find(entry.id()).map(known -> describe(known.entry())).orElse("");
+                workers.find(entry.id()).map(worker -> describe(worker.entry())).orElse("");
         workers.addOrUpdate(entry, nowNanos);
         if (!before.equals(describe(entry))) {
             audit.add(AuditEvent.Kind.UPSTREAM, entry.id(), "published", before, describe(entry));
@@ -121,9 +126,9 @@
     }
 
     /**
-     * A worker is published no more.
+     * Removes a worker that is no longer published.
      *
-     * @param id its name
+     * @param id name of the worker
      */
     public void removeWorker(String id) {
         workers.remove(id)
@@ -131,100 +136,101 @@
     }
 
     /**
-     * A data centre is evacuated, or taken back.
+     * Starts or ends the evacuation of a data centre.
      *
-     * @param dataCentre its name
-     * @param evacuated whether its workers get nothing more
-     * @param nowNanos the time
+     * @param dataCentre name of the data centre
+     * @param evacuated true if its workers get no new requests from now on, false if the evacuation ends
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void setEvacuated(String dataCentre, boolean evacuated, long nowNanos) {
-        boolean changed = evacuated ? workers.evacuated(dataCentre) : workers.takenBack(dataCentre, nowNanos);
+        boolean changed = evacuated ? workers.evacuate(dataCentre) : workers.endEvacuation(dataCentre, nowNanos);
         if (changed) {
-            String now = evacuated ? "evacuated" : "in use";
-            audit.add(AuditEvent.Kind.EVACUATION, dataCentre, "published", evacuated ? "in use" : "evacuated", now);
+            String after = evacuated ? "evacuated" : "in use";
+            audit.add(AuditEvent.Kind.EVACUATION, dataCentre, "published", evacuated ? "in use" : "evacuated", after);
         }
     }
 
-    /** Every published worker has been read once. */
+    /** Records that all published workers have been loaded for the first time. */
     public void markWorkersLoaded() {
         workersLoaded = true;
     }
 
     /**
-     * Whether requests can be served.
+     * Returns whether this process can serve requests. May be called on any thread.
      *
-     * @return true once a routing table and the workers are known
+     * @return true once a routing table is active and the published workers have been loaded
      */
     public boolean isReady() {
         return table != null && workersLoaded;
     }
 
     /**
-     * The workers.
+     * Returns the registry of workers.
      *
-     * @return all that are published
+     * @return the workers of all upstreams
      */
     public Workers workers() {
         return workers;
     }
 
     /**
-     * The budget of repeats to an upstream.
+     * Returns the retry budget of an upstream.
      *
-     * @param upstream its name
-     * @return this process's part
+     * @param upstream name of the upstream
+     * @return this process's part of the fleet's budget
      */
     public WindowedRetryBudget retryBudget(String upstream) {
-        return budgets.computeIfAbsent(upstream, name -> {
-            WindowedRetryBudget budget = new WindowedRetryBudget(limit.ratio(), limit.extra(), limit.windowNanos());
-            budget.recordFleetSize(processes);
+        return retryBudgets.computeIfAbsent(upstream, name -> {
+            WindowedRetryBudget budget =
+                    new WindowedRetryBudget(retryLimit.ratio(), retryLimit.extra(), retryLimit.windowNanos());
+            budget.recordFleetSize(maxProcesses);
             return budget;
         });
     }
 
     /**
-     * How an upstream's engines are split.
+     * Returns how the engines of an upstream are divided among latency classes.
      *
-     * @param upstream its name
-     * @return its split
+     * @param upstream name of the upstream
+     * @return its partition, created on first use
      */
     public EnginePartition enginePartition(String upstream) {
         return enginePartitions.computeIfAbsent(upstream, name -> new EnginePartition());
     }
 
     /**
-     * What an upstream's engines take for streams that can wait.
+     * Returns the learned model of how much time the engines of an upstream need for delay-tolerant streams.
      *
-     * @param upstream its name
-     * @return its model
+     * @param upstream name of the upstream
+     * @return its model, created on first use
      */
     public EngineModel engineModel(String upstream) {
-        return models.computeIfAbsent(upstream, name -> new EngineModel());
+        return engineModels.computeIfAbsent(upstream, name -> new EngineModel());
     }
 
     /**
-     * Which workers have read which parts of prompts.
+     * Returns which parts of prompts are probably cached at which workers.
      *
-     * @return the parts of all upstreams
+     * @return the cached parts of the workers of all upstreams
      */
     public CachedPrefixes cachedPrefixes() {
         return cachedPrefixes;
     }
 
     /**
-     * Requests under which workers crashed.
+     * Returns the quarantine of requests under which workers crashed.
      *
-     * @return the quarantine, which is the same for all upstreams
+     * @return the quarantine for the requests of all upstreams
      */
     public RequestQuarantine quarantine() {
         return quarantine;
     }
 
     /**
-     * A run of a request ended, with its worker or well, here or at a peer.
+     * Applies a notice about the end of a run of a request that may crash workers.
      *
-     * @param notice what happened
-     * @param nowNanos the time
+     * @param notice notice of this process or of a peer; says whether the run finished or crashed its worker
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void applyCrashNotice(CrashNotice notice, long nowNanos) {
         if (quarantine.applyNotice(notice, nowNanos)) {
@@ -233,31 +239,32 @@
     }
 
     /**
-     * A worker has said in an answer how many requests it takes.
+     * Records the request rate limit that a worker has set in a response. Ignored if the worker is no longer published.
      *
-     * @param worker the worker
-     * @param perSecond requests a second from all processes together, empty if it named no limit
-     * @param nowNanos the time
+     * @param worker the worker that sent the response
+     * @param perSecond requests per second that it accepts from all processes together; empty if the response sets no
+     *     limit
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordWorkerLimit(WorkerEntry worker, OptionalDouble perSecond, long nowNanos) {
         WorkerLimits limits = workers.limits();
         String before = describe(limits.limit(worker.incarnation()));
-        boolean published = workers.started(worker.incarnation()).isPresent();
+        boolean published = workers.findByIncarnation(worker.incarnation()).isPresent();
         if (published && limits.updateFromWorker(worker.incarnation(), perSecond, nowNanos)) {
             audit.add(AuditEvent.Kind.LIMIT, worker.id(), "named in an answer", before, describe(perSecond));
         }
     }
 
     /**
-     * A peer has told how many requests a worker takes. Of workers that are not published here nothing is kept: a
-     * process that knows them is told again.
+     * Applies a peer's notice of the request rate limit of a worker. Ignored if the worker is not yet published here;
+     * peers repeat their notices.
      *
-     * @param notice the worker's word
-     * @param peer the peer's name
-     * @param nowNanos the time
+     * @param notice the limit that the worker has set
+     * @param peer name of the peer that sent the notice
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void applyLimitNotice(LimitNotice notice, String peer, long nowNanos) {
-        workers.started(notice.worker()).ifPresent(worker -> {
+        workers.findByIncarnation(notice.worker()).ifPresent(worker -> {
             WorkerLimits limits = workers.limits();
             String before = describe(limits.limit(notice.worker()));
             if (limits.updateFromPeer(notice, nowNanos)) {
@@ -272,29 +279,29 @@
     }
 
     /**
-     * The enginePartitions of all upstreams that had requests.
+     * Returns the engine partitions of all upstreams that had requests.
      *
-     * @return by the upstream's name
+     * @return partitions by name of the upstream
      */
     public Map<String, EnginePartition> enginePartitions() {
         return enginePartitions;
     }
 
     /**
-     * The size of the fleet is known.
+     * Updates the size of the fleet, by which the retry budgets are divided.
      *
-     * @param count processes, this one included
+     * @param count number of processes that are not dead according to membership, this one included
      */
     public void updateFleetSize(int count) {
         reachableProcesses = count;
-        processes = Math.max(processes, count);
-        budgets.values().forEach(budget -> budget.recordFleetSize(count));
+        maxProcesses = Math.max(maxProcesses, count);
+        retryBudgets.values().forEach(budget -> budget.recordFleetSize(count));
     }
 
     /**
-     * How many processes are known not to be dead, this one included.
+     * Returns the current size of the fleet.
      *
-     * @return the count
+     * @return number of processes that are not dead according to membership, this one included
      */
     public int reachableProcesses() {
         return reachableProcesses;
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ClientAddresses.java
@@ -15,9 +15,9 @@
 import org.dotterelcourse.gateway.edge.ClientsEdge;
 import org.dotterelcourse.gateway.edge.Shutdown;
 
-/** Which addresses a client may connect to, by what this process knows of its peers. */
+/** Lists the addresses that clients may connect to, according to this process's view of the fleet. */
 public final class ClientAddresses implements Service {
-    /** The name that it is found by. */
+    /** Name of this service in the kernel. */
     public static final ServiceName<ClientAddresses> NAME =
             new ServiceName<>("client-addresses", ClientAddresses.class);
 
@@ -46,45 +46,45 @@
 
     @Override
     public void stop() {
-        // It only answers.
+        // Holds no resources.
     }
 
     /**
-     * Whether this process should get requests.
+     * Returns whether this process should receive requests.
      *
-     * @return true once it can serve, until its shutdown begins
+     * @return true from when it can serve requests until its shutdown begins
      */
     public boolean isSelfReady() {
         return state.isReady() && !shutdown.begun();
     }
 
     /**
-     * The addresses of processes that serve, in random order.
+     * Returns the addresses of the processes that serve clients, in random order.
      *
-     * @return IP numbers and ports; empty if none is known
+     * @return IP addresses and ports, separated by colons; empty if no process is known to serve
      */
     public List<String> usableAddresses() {
         List<Member> serving = new ArrayList<>();
-        List<Member> suspects = new ArrayList<>();
+        List<Member> suspected = new ArrayList<>();
         for (Member member : peers.view()) {
             boolean self = member.name().equals(peers.self());
             if (self ? !isSelfReady() : !serves(member)) {
                 continue;
             }
-            (self || member.state() == MemberState.ALIVE ? serving : suspects).add(member);
+            (self || member.state() == MemberState.ALIVE ? serving : suspected).add(member);
         }
-        // Where most others are suspected at once, this process is rather the one that is cut off; if it named itself
-        // alone, every client that asks it would come here.
-        if (suspects.size() >= serving.size()) {
-            serving.addAll(suspects);
+        // If at least half of the serving processes are suspected at once, it is more likely that this process is
+        // disconnected. If it returned only itself, every client that asks it would connect here.
+        if (suspected.size() >= serving.size()) {
+            serving.addAll(suspected);
         }
         Collections.shuffle(serving);
         return serving.stream().map(member -> member.payload().clientAddress()).toList();
     }
 
     private static boolean serves(Member member) {
-        boolean told =
+        boolean ready =
                 !member.payload().clientAddress().isEmpty() && member.payload().configurationNumber() > 0;
-        return told && (member.state() == MemberState.ALIVE || member.state() == MemberState.SUSPECT);
+        return ready && (member.state() == MemberState.ALIVE || member.state() == MemberState.SUSPECT);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/CrashNoticeCodec.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/CrashNoticeCodec.java
@@ -8,7 +8,7 @@
 import org.dotterelcourse.policy.quarantine.CrashNotice.Ending;
 import org.dotterelcourse.policy.quarantine.Fingerprint;
 
-/** Notices of crashed workers as columns of a message, and back. */
+/** Encodes notices of requests that may crash workers as columns of a message, and decodes them. */
 final class CrashNoticeCodec {
     private CrashNoticeCodec() {}
 
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Reads columns. Endings of a newer release are left out.
+     * Decodes columns of a message. Notices with endings that only a newer release knows are skipped.
      *
-     * @throws IllegalArgumentException if they don't have the same length
+     * @throws IllegalArgumentException if the columns differ in length
      */
     static List<CrashNotice> decode(FleetProtos.CrashNotices columns) {
         int count = columns.getRequestCount();
@@ -41,7 +41,8 @@
                 || columns.getWorkerCount() != count
                 || columns.getRunMillisCount() != count
                 || columns.getAgoMillisCount() != count) {
-            throw new IllegalArgumentException("columns of different lengths, " + count + " requests");
+            throw new IllegalArgumentException(
+                    "columns differ in length, expected " + count + " values (one per request)");
         }
         List<CrashNotice> notices = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -34,76 +34,84 @@
 import org.jboss.logging.Logger;
 
 /**
- * Tells peers what this process has in flight and has seen, by the {@link CollectorPlan}.
+ * Exchanges load reports with peers, which also carry notices about workers and the state of store followers. In a
+ * small fleet each process reports to all others; in a larger one, reports are aggregated according to the {@link
+ * CollectorPlan}.
  *
- * <p>Each process places requests by itself; without its peers' figures, eight of them would each see an eighth of the
- * load and all choose the same worker.
+ * <p>Each process selects workers by itself. Without the loads of its peers, each of eight processes would see an
+ * eighth of the load, and all would select the same worker.
  */
 public final class FleetExchange implements Service {
-    /** The name that it is found by. */
+    /** Name of this service in the kernel. */
     public static final ServiceName<FleetExchange> NAME = new ServiceName<>("fleet-exchange", FleetExchange.class);
 
     private static final Logger LOG = Logger.getLogger(FleetExchange.class);
     private static final String LOADS = "gateway-loads";
 
-    /** Shortest period: about the time that a plain call takes; faster news would be about calls that have ended. */
-    private static final long DIRECT_PERIOD_MILLIS = 50;
+    /**
+     * Shortest report period: about the duration of a request to a plain service. With a shorter one, reports would be
+     * mostly about requests that have ended.
+     */
+    private static final long MIN_DIRECT_PERIOD_MILLIS = 50;
 
-    /** With every peer, the period of a small fleet grows by this much: some 140 reports a second at most. */
-    private static final long MILLIS_PER_PEER = 7;
+    /** Report period per peer in a fleet without collectors; limits each process to some 140 reports a second. */
+    private static final long DIRECT_PERIOD_MILLIS_PER_PEER = 7;
 
     /**
-     * Period of a fleet with collectors. News takes up to three hops, 0.15 s on average, well below the time that an
-     * engine needs for a long prompt.
+     * Report period in a fleet with collectors. A change reaches all processes in up to three hops, 0.15 s on average,
+     * well below the time that an engine needs for a long prompt.
      */
-    private static final long PERIOD_MILLIS = 100;
+    private static final long COLLECTED_PERIOD_MILLIS = 100;
 
-    /** Reports that say the same again are sent only this often, so that they don't run out at the peers. */
+    /** Period of unchanged reports, which are repeated so that they don't expire at the peers. */
     private static final long UNCHANGED_PERIOD_MILLIS = 500;
 
-    /** A collector that says nothing for this long is replaced by the next one: twice the longest period. */
-    private static final long SILENT_MILLIS = 1_000;
+    /** Time without a report after which a collector or reporter is given up: twice the longest period. */
+    private static final long REPORT_TIMEOUT_MILLIS = 1_000;
 
-    /** How long a silent collector is not tried again; membership knows by then whether it lives. */
-    private static final long AVOIDED_MILLIS = 5_000;
+    /** How long an unresponsive collector is excluded. By then, membership has detected whether it is dead. */
+    private static final long EXCLUSION_MILLIS = 5_000;
 
-    /** Stands for whichever process is this one's collector, so that the next one's sum replaces the last one's. */
-    private static final String COLLECTOR = "";
+    /**
+     * Sender name under which the work reported by this process's collector is recorded, so that the sums of a new
+     * collector replace those of its predecessor.
+     */
+    private static final String ANY_COLLECTOR = "";
 
-    /** Stand for receivers that are told the same, beside the names of reporters. */
+    /** Keys for groups of receivers that get the same report, used alongside the names of reporters. */
     private static final String ALL = "*";
 
     private static final String COLLECTORS = "**";
-    private static final Set<String> GROUPS = Set.of(ALL, COLLECTORS);
+    private static final Set<String> RECEIVER_GROUPS = Set.of(ALL, COLLECTORS);
 
-    private static final String FOLLOWER = "follower";
+    private static final String FOLLOWER_HASH_KEY = "follower";
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final Map<String, Long> reporters = new HashMap<>();
-    private final Map<String, Long> avoided = new HashMap<>();
+    private final Map<String, Long> excludedCollectors = new HashMap<>();
     private GatewayLoop loop;
     private GatewayState state;
     private Publications publications;
     private ItemRelay relay;
     private Peers peers;
     private PeerTransport transport;
-    private List<Member> planned = List.of();
+    private List<Member> plannedView = List.of();
     private CollectorPlan plan;
 
-    /** Names of the other processes that are not known to be dead. */
+    /** Names of the other processes that are not dead according to membership. */
     private List<String> others = List.of();
 
-    private final List<CachedPrefixes.PartLocation> reportedPlaces = new ArrayList<>();
-    private final List<CachedPrefixes.PartLocation> gatheredPlaces = new ArrayList<>();
+    private final List<CachedPrefixes.PartLocation> reportedLocations = new ArrayList<>();
+    private final List<CachedPrefixes.PartLocation> gatheredLocations = new ArrayList<>();
     private String collector = "";
-    private long collectorNanos;
-    private final Map<String, Told> lastTold = new HashMap<>();
+    private long lastCollectorReportNanos;
+    private final Map<String, SentReport> lastSent = new HashMap<>();
 
-    /** What all receivers are told this time. */
+    /** Notices included in all reports of the current period. */
     private Notices notices = Notices.NONE;
 
-    /** What was learned of workers, and is told as it is to everybody. */
+    /** Notices about workers, which are sent unchanged to all receivers. */
     private record Notices(List<CrashNotice> crashes, List<LimitNotice> limits) {
         private static final Notices NONE = new Notices(List.of(), List.of());
 
@@ -112,8 +120,8 @@
         }
     }
 
-    /** What a receiver was last told, and when. */
-    private record Told(Map<Integer, PeerLoads.Load> loads, long atNanos) {}
+    /** The loads last sent to a receiver or group, with the time of the report. */
+    private record SentReport(Map<Integer, PeerLoads.Load> loads, long atNanos) {}
 
     @Override
     public ServiceName<FleetExchange> name() {
@@ -134,32 +142,32 @@
         peers = kernel.find(Peers.NAME);
         transport = peers.transport();
         transport.registerHandler(
-                LOADS, message -> loop.execute(() -> loads(message.sender().name(), message.body())));
-        loop.runAfter(DIRECT_PERIOD_MILLIS, this::tell);
+                LOADS, message -> loop.execute(() -> receive(message.sender().name(), message.body())));
+        loop.runAfter(MIN_DIRECT_PERIOD_MILLIS, this::sendReports);
         return List.of();
     }
 
     @Override
     public void stop() {
-        // Its timer ends with the loop.
+        // The timer ends with the event loop.
     }
 
-    private void tell() {
+    private void sendReports() {
         long now = loop.nowNanos();
         List<Member> view = peers.view();
-        if (view != planned || plan == null) {
-            planned = view;
+        if (view != plannedView || plan == null) {
+            plannedView = view;
             plan = CollectorPlan.of(peers.self(), view);
             publications
                     .followerElection()
-                    .order(
+                    .updateRanking(
                             id(peers.self()),
                             plan.readerCandidates().stream()
                                     .map(FleetExchange::id)
                                     .toList(),
                             plan.readerCount());
             others = view.stream().filter(this::isOther).map(Member::name).toList();
-            state.workers().fleet(peers.self(), others, now);
+            state.workers().updateFleet(peers.self(), others, now);
             state.quarantine().scheduleReminders();
             state.workers().limits().scheduleReminders();
         }
@@ -167,91 +175,94 @@
         notices = new Notices(
                 state.quarantine().takeNotices(now), state.workers().limits().takeNotices(now));
         if (plan.isDirect()) {
-            tellAll(now);
+            reportToAll(now);
         } else {
-            tellByPlan(now);
+            reportByPlan(now);
         }
-        long period = Math.max(DIRECT_PERIOD_MILLIS, MILLIS_PER_PEER * others.size());
-        loop.runAtNextMultiple(plan.isDirect() ? period : PERIOD_MILLIS, this::tell);
+        long period = Math.max(MIN_DIRECT_PERIOD_MILLIS, DIRECT_PERIOD_MILLIS_PER_PEER * others.size());
+        loop.runAtNextMultiple(plan.isDirect() ? period : COLLECTED_PERIOD_MILLIS, this::sendReports);
     }
 
     private boolean isOther(Member member) {
         return !member.name().equals(peers.self()) && member.state() != MemberState.DEAD;
     }
 
-    /** A small fleet: everybody tells everybody. */
-    private void tellAll(long now) {
-        Map<Integer, PeerLoads.Load> own = state.workers().own(now);
-        List<CachedPrefixes.PartLocation> places = state.cachedPrefixes().drainUnreported();
-        if (!due(ALL, own, places, now)) {
+    /** Reports to all processes, in a small fleet. */
+    private void reportToAll(long now) {
+        Map<Integer, PeerLoads.Load> own = state.workers().localLoads(now);
+        List<CachedPrefixes.PartLocation> locations = state.cachedPrefixes().drainUnreported();
+        if (!recordIfDue(ALL, own, locations, now)) {
             return;
         }
-        byte[] report = report(FleetProtos.LoadReport.Kind.OWN, own, "", places, now);
-        planned.stream().filter(this::isOther).forEach(member -> send(member, report));
+        byte[] report = report(FleetProtos.LoadReport.Kind.OWN, own, "", locations, now);
+        plannedView.stream().filter(this::isOther).forEach(member -> send(member, report));
     }
 
-    /** Whether a receiver is to be told now; if so, that is noted as done. */
-    private boolean due(
-            String receiver, Map<Integer, PeerLoads.Load> loads, List<CachedPrefixes.PartLocation> places, long now) {
-        Told last = lastTold.get(receiver);
+    /** Returns whether a report to a receiver or group is due, and if so records it as sent. */
+    private boolean recordIfDue(
+            String receiver,
+            Map<Integer, PeerLoads.Load> loads,
+            List<CachedPrefixes.PartLocation> locations,
+            long now) {
+        SentReport last = lastSent.get(receiver);
         boolean due = last == null
-                || !places.isEmpty()
+                || !locations.isEmpty()
                 || !notices.isEmpty()
                 || now - last.atNanos() >= UNCHANGED_PERIOD_MILLIS * NANOS_PER_MILLI
-                || publications.followerElection().newsSince(last.atNanos())
+                || publications.followerElection().hasChangedSince(last.atNanos())
                 || !loads.equals(last.loads());
         if (due) {
-            lastTold.put(receiver, new Told(loads, now));
+            lastSent.put(receiver, new SentReport(loads, now));
         }
         return due;
     }
 
-    private void tellByPlan(long now) {
-        reporters.values().removeIf(heard -> now - heard > SILENT_MILLIS * NANOS_PER_MILLI);
-        List<CachedPrefixes.PartLocation> places = state.cachedPrefixes().drainUnreported();
-        Optional<String> to = plan.collector(avoided(now));
-        if (to.isPresent()) {
-            Map<Integer, PeerLoads.Load> own = state.workers().own(now);
-            if (due(ALL, own, places, now)) {
-                send(to.get(), report(FleetProtos.LoadReport.Kind.OWN, own, "", places, now));
+    private void reportByPlan(long now) {
+        reporters.values().removeIf(lastReport -> now - lastReport > REPORT_TIMEOUT_MILLIS * NANOS_PER_MILLI);
+        List<CachedPrefixes.PartLocation> locations = state.cachedPrefixes().drainUnreported();
+        Optional<String> assigned = plan.collector(excludedCollectors(now));
+        if (assigned.isPresent()) {
+            Map<Integer, PeerLoads.Load> own = state.workers().localLoads(now);
+            if (recordIfDue(ALL, own, locations, now)) {
+                send(assigned.get(), report(FleetProtos.LoadReport.Kind.OWN, own, "", locations, now));
             }
         }
-        places.addAll(reportedPlaces);
+        locations.addAll(reportedLocations);
         if (plan.isCollector()) {
-            Map<Integer, PeerLoads.Load> sum = state.workers().gathered(now);
-            if (due(COLLECTORS, sum, places, now)) {
-                byte[] gathered = report(FleetProtos.LoadReport.Kind.GATHERED, sum, "", places, now);
-                plan.otherCollectors().forEach(each -> send(each, gathered));
+            Map<Integer, PeerLoads.Load> sum = state.workers().aggregatedLoads(now);
+            if (recordIfDue(COLLECTORS, sum, locations, now)) {
+                byte[] gathered = report(FleetProtos.LoadReport.Kind.GATHERED, sum, "", locations, now);
+                plan.otherCollectors().forEach(other -> send(other, gathered));
             }
         }
-        places.addAll(gatheredPlaces);
+        locations.addAll(gatheredLocations);
         for (String reporter : reporters.keySet()) {
-            Map<Integer, PeerLoads.Load> sum = state.workers().othersOf(reporter, now);
-            if (due(reporter, sum, places, now)) {
-                send(reporter, report(FleetProtos.LoadReport.Kind.OTHERS, sum, reporter, places, now));
+            Map<Integer, PeerLoads.Load> sum = state.workers().loadsExcluding(reporter, now);
+            if (recordIfDue(reporter, sum, locations, now)) {
+                send(reporter, report(FleetProtos.LoadReport.Kind.OTHERS, sum, reporter, locations, now));
             }
         }
-        lastTold.keySet().removeIf(receiver -> !reporters.containsKey(receiver) && !GROUPS.contains(receiver));
-        reportedPlaces.clear();
-        gatheredPlaces.clear();
+        lastSent.keySet().removeIf(receiver -> !reporters.containsKey(receiver) && !RECEIVER_GROUPS.contains(receiver));
+        reportedLocations.clear();
+        gatheredLocations.clear();
     }
 
-    /** Collectors that are silent are not asked again for a while. */
-    private Set<String> avoided(long now) {
-        avoided.values().removeIf(since -> now - since > AVOIDED_MILLIS * NANOS_PER_MILLI);
-        String wanted = plan.collector(avoided.keySet()).orElse("");
-        if (!wanted.equals(collector)) {
-            collector = wanted;
-            collectorNanos = now;
-        } else if (!wanted.isEmpty() && now - collectorNanos > SILENT_MILLIS * NANOS_PER_MILLI) {
-            LOG.infof("the collector %s says nothing, another one is asked", wanted);
-            avoided.put(wanted, now);
+    /** Returns the collectors to exclude for now. Excludes the assigned one if its reports have stopped. */
+    private Set<String> excludedCollectors(long now) {
+        excludedCollectors.values().removeIf(since -> now - since > EXCLUSION_MILLIS * NANOS_PER_MILLI);
+        String assigned = plan.collector(excludedCollectors.keySet()).orElse("");
+        if (!assigned.equals(collector)) {
+            collector = assigned;
+            lastCollectorReportNanos = now;
+        } else if (!assigned.isEmpty() && now - lastCollectorReportNanos > REPORT_TIMEOUT_MILLIS * NANOS_PER_MILLI) {
+            LOG.infof("collector %s says nothing, reporting to another one", assigned);
+            excludedCollectors.put(assigned, now);
         }
-        return new HashSet<>(avoided.keySet());
+        return new HashSet<>(excludedCollectors.keySet());
     }
 
     private void send(String name, byte[] report) {
-        planned.stream().filter(member -> member.name().equals(name)).forEach(member -> send(member, report));
+        plannedView.stream().filter(member -> member.name().equals(name)).forEach(member -> send(member, report));
     }
 
     private void send(Member member, byte[] report) {
@@ -262,7 +273,7 @@
             FleetProtos.LoadReport.Kind kind,
             Map<Integer, PeerLoads.Load> loads,
             String receiver,
-            List<CachedPrefixes.PartLocation> places,
+            List<CachedPrefixes.PartLocation> locations,
             long now) {
         FleetProtos.LoadReport.Builder report = FleetProtos.LoadReport.newBuilder()
                 .setKind(kind)
@@ -281,13 +292,13 @@
         if (!notices.limits().isEmpty()) {
             report.setLimits(LimitNoticeCodec.encode(notices.limits()));
         }
-        places.forEach(place -> report.addParts(place.part()).addPartWorkers(place.worker()));
-        state.enginePartitions().forEach((upstream, split) -> {
+        locations.forEach(location -> report.addParts(location.part()).addPartWorkers(location.worker()));
+        state.enginePartitions().forEach((upstream, partition) -> {
             LatencyClassWork work =
                     switch (kind) {
-                        case GATHERED -> split.reportersWork();
-                        case OTHERS -> split.workExcluding(receiver);
-                        default -> split.localWork();
+                        case GATHERED -> partition.reportersWork();
+                        case OTHERS -> partition.workExcluding(receiver);
+                        default -> partition.localWork();
                     };
             report.addUpstreams(FleetProtos.UpstreamWork.newBuilder()
                     .setUpstream(upstream)
@@ -297,33 +308,33 @@
         return report.build().toByteArray();
     }
 
-    private void loads(String peer, byte[] body) {
+    private void receive(String peer, byte[] body) {
         long now = loop.nowNanos();
         FleetProtos.LoadReport report;
         Map<Integer, PeerLoads.Load> loads;
-        Notices told;
+        Notices received;
         try {
             report = FleetProtos.LoadReport.parseFrom(body);
             loads = LoadCodec.decode(report.getWorkers());
-            told = new Notices(
+            received = new Notices(
                     CrashNoticeCodec.decode(report.getCrashes()), LimitNoticeCodec.decode(report.getLimits()));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            LOG.warnf(e, "a load report of %s can't be read", peer);
+            LOG.warnf(e, "load report of %s can't be read, the report is ignored", peer);
             return;
         }
         PeerLoads.Scope scope = scope(report.getKind());
         if (scope == PeerLoads.Scope.OWN) {
             reporters.put(peer, now);
         } else if (scope == PeerLoads.Scope.OTHERS && peer.equals(collector)) {
-            collectorNanos = now;
+            lastCollectorReportNanos = now;
         }
-        state.workers().peerLoad(peer, scope, loads, now);
-        told.crashes().forEach(crash -> state.applyCrashNotice(crash, now));
-        told.limits().forEach(limit -> state.applyLimitNotice(limit, peer, now));
-        work(peer, scope, report, now);
-        places(scope, report, now);
-        followers(report, now);
-        relay.heard(peer, new StorePosition(report.getEra(), report.getRevision()));
+        state.workers().recordPeerLoads(peer, scope, loads, now);
+        received.crashes().forEach(crash -> state.applyCrashNotice(crash, now));
+        received.limits().forEach(limit -> state.applyLimitNotice(limit, peer, now));
+        recordWork(peer, scope, report, now);
+        recordLocations(scope, report, now);
+        recordFollowers(report, now);
+        relay.recordPeerPosition(peer, new StorePosition(report.getEra(), report.getRevision()));
     }
 
     private static PeerLoads.Scope scope(FleetProtos.LoadReport.Kind kind) {
@@ -334,48 +345,51 @@
         };
     }
 
-    private void work(String peer, PeerLoads.Scope scope, FleetProtos.LoadReport report, long now) {
+    private void recordWork(String peer, PeerLoads.Scope scope, FleetProtos.LoadReport report, long now) {
         for (FleetProtos.UpstreamWork work : report.getUpstreamsList()) {
             double[] millis = work.getMillisByPaceList().stream()
                     .mapToDouble(Long::doubleValue)
                     .toArray();
             if (millis.length == LatencyClassWork.none().millis().length) {
-                boolean alone = scope == PeerLoads.Scope.OWN;
-                String speaker = scope == PeerLoads.Scope.OTHERS ? COLLECTOR : peer;
+                boolean ownOnly = scope == PeerLoads.Scope.OWN;
+                String sender = scope == PeerLoads.Scope.OTHERS ? ANY_COLLECTOR : peer;
                 state.enginePartition(work.getUpstream())
-                        .recordPeerWork(speaker, alone, new LatencyClassWork(millis), now);
+                        .recordPeerWork(sender, ownOnly, new LatencyClassWork(millis), now);
             }
         }
     }
 
-    private void places(PeerLoads.Scope scope, FleetProtos.LoadReport report, long now) {
+    private void recordLocations(PeerLoads.Scope scope, FleetProtos.LoadReport report, long now) {
         boolean direct = plan == null || plan.isDirect();
         int count = Math.min(report.getPartsCount(), report.getPartWorkersCount());
         for (int i = 0; i < count; i++) {
-            CachedPrefixes.PartLocation place =
+            CachedPrefixes.PartLocation location =
                     new CachedPrefixes.PartLocation(report.getParts(i), report.getPartWorkers(i));
-            state.cachedPrefixes().recordPeerReport(place, now);
+            state.cachedPrefixes().recordPeerReport(location, now);
             if (!direct && scope == PeerLoads.Scope.OWN) {
-                reportedPlaces.add(place);
+                reportedLocations.add(location);
             } else if (!direct && scope == PeerLoads.Scope.GATHERED) {
-                gatheredPlaces.add(place);
+                gatheredLocations.add(location);
             }
         }
     }
 
-    private void followers(FleetProtos.LoadReport report, long now) {
+    private void recordFollowers(FleetProtos.LoadReport report, long now) {
         int count = Math.min(
                 report.getFollowersCount(),
                 Math.min(report.getFollowerAnswersCount(), report.getFollowerMillisCount()));
         for (int i = 0; i < count; i++) {
             StoreFollowerElection.Follower follower = new StoreFollowerElection.Follower(
                     report.getFollowers(i), report.getFollowerAnswers(i), report.getFollowerMillis(i));
-            publications.followerElection().heard(follower, now);
+            publications.followerElection().recordFollower(follower, now);
         }
     }
 
-    /** Stands for a process's name in reports, which go out ten times a second. */
+    /**
+     * Returns a hash that identifies a process in reports. Shorter than the name, as reports are sent ten times a
+     * second.
+     */
     private static int id(String name) {
-        return (int) Rendezvous.weight(FOLLOWER, name);
+        return (int) Rendezvous.weight(FOLLOWER_HASH_KEY, name);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/ItemRelay.java
@@ -21,29 +21,30 @@
 import org.jboss.logging.Logger;
 
 /**
- * Passes published items between processes: changes from one that follows the store to all others, by way of one process
- * of each other data centre, so that they cross between data centres once; and everything to one that is behind.
+ * Relays published items between processes. A process that follows the store sends changes to all processes of its data
+ * centre and to one relay in each other data centre, which forwards them there, so that each change is sent to another
+ * data centre only once. A process that has missed changes requests a snapshot from a peer.
  *
- * <p>Without it, a process that the store turns away would go on with revoked keys and gone workers for as long as that
- * lasts, and every process would have to follow the store by itself.
+ * <p>Without the relay, a process that the store rejects would continue to use revoked keys and removed workers for as
+ * long as the store rejects it, and every process would have to poll the store itself.
  */
 public final class ItemRelay implements Service {
-    /** The name that it is found by. */
+    /** Name of this service in the kernel. */
     public static final ServiceName<ItemRelay> NAME = new ServiceName<>("item-relay", ItemRelay.class);
 
     private static final Logger LOG = Logger.getLogger(ItemRelay.class);
     private static final String ITEMS_REQUEST = "gateway-items-request";
     private static final String ITEMS = "gateway-items";
 
-    /** How long a process may be behind a peer until it asks; the changes are mostly on their way. */
-    private static final long BEHIND_MILLIS = 150;
+    /** How long a process that lags behind a peer waits for the missing changes before it requests a snapshot. */
+    private static final long SNAPSHOT_REQUEST_DELAY_MILLIS = 150;
 
     private GatewayLoop loop;
     private Publications publications;
     private Peers peers;
     private PeerTransport transport;
-    private boolean asking;
-    private StorePosition highestHeard = StorePosition.NONE;
+    private boolean requestScheduled;
+    private StorePosition highestPosition = StorePosition.NONE;
 
     @Override
     public ServiceName<ItemRelay> name() {
@@ -63,36 +64,37 @@
         transport = peers.transport();
         transport.registerHandler(
                 ITEMS_REQUEST,
-                message -> loop.execute(() -> itemsWanted(message.sender().name())));
+                message -> loop.execute(() -> sendSnapshot(message.sender().name())));
         transport.registerHandler(
-                ITEMS, message -> loop.execute(() -> items(message.sender().name(), message.body())));
-        publications.onRead(this::push);
+                ITEMS, message -> loop.execute(() -> receive(message.sender().name(), message.body())));
+        publications.setReadListener(this::distribute);
         return List.of();
     }
 
     @Override
     public void stop() {
-        // It holds no resources.
+        // Holds no resources.
     }
 
     /**
-     * A peer has told up to which position it knows everything.
+     * Records the position up to which a peer knows all changes, and schedules a request for a snapshot if this process
+     * lags behind any peer.
      *
-     * @param peer its name
-     * @param position the position
+     * @param peer name of the peer
+     * @param position position of the peer
      */
-    void heard(String peer, StorePosition position) {
-        highestHeard = position.isAfter(highestHeard) ? position : highestHeard;
-        boolean behind = highestHeard.isAfter(publications.position());
-        publications.followerElection().behind(behind, loop.nowNanos());
-        if (behind && !asking) {
-            asking = true;
-            loop.runAfter(BEHIND_MILLIS, () -> askIfBehind(peer, position));
+    void recordPeerPosition(String peer, StorePosition position) {
+        highestPosition = position.isAfter(highestPosition) ? position : highestPosition;
+        boolean stale = highestPosition.isAfter(publications.position());
+        publications.followerElection().recordStaleness(stale, loop.nowNanos());
+        if (stale && !requestScheduled) {
+            requestScheduled = true;
+            loop.runAfter(SNAPSHOT_REQUEST_DELAY_MILLIS, () -> requestIfStale(peer, position));
         }
     }
 
-    private void askIfBehind(String peer, StorePosition position) {
-        asking = false;
+    private void requestIfStale(String peer, StorePosition position) {
+        requestScheduled = false;
         if (position.isAfter(publications.position())) {
             FleetProtos.ItemsRequest request = FleetProtos.ItemsRequest.newBuilder()
                     .setRevision(publications.position().revision())
@@ -102,22 +104,24 @@
         }
     }
 
-    private void itemsWanted(String peer) {
-        FleetProtos.Items items = encode(publications.live(), publications.position())
-                .setHoldMillis((int) publications.holdMillis())
+    private void sendSnapshot(String peer) {
+        FleetProtos.Items message = encode(publications.live(), publications.position())
+                .setHoldMillis((int) publications.deletionHoldMillis())
                 .build();
-        peers.send(peer, ITEMS, items.toByteArray());
+        peers.send(peer, ITEMS, message.toByteArray());
     }
 
-    /** Changes that this process has read from the store go to its data centre and to one process of each other one. */
-    private void push(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
+    /**
+     * Sends changes that this process has read from the store to its data centre and to the relay of each other one.
+     */
+    private void distribute(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
         byte[] body = encode(changes, upTo)
                 .setAfter(after.revision())
                 .setAfterEra(after.era())
-                .setHoldMillis((int) publications.holdMillis())
+                .setHoldMillis((int) publications.deletionHoldMillis())
                 .build()
                 .toByteArray();
-        sendNear(body);
+        sendWithinDataCentre(body);
         List<String> relays = plan().otherRelays();
         for (Member member : peers.view()) {
             if (relays.contains(member.name())) {
@@ -130,59 +134,59 @@
         return CollectorPlan.of(peers.self(), peers.view());
     }
 
-    private void sendNear(byte[] body) {
+    private void sendWithinDataCentre(byte[] body) {
         for (Member member : peers.view()) {
-            boolean other = !member.name().equals(peers.self()) && member.state() != MemberState.DEAD;
-            if (other && near(member)) {
+            boolean isOther = !member.name().equals(peers.self()) && member.state() != MemberState.DEAD;
+            if (isOther && isLocal(member)) {
                 FleetMessages.send(transport, member, ITEMS, body);
             }
         }
     }
 
-    private boolean near(Member member) {
+    private boolean isLocal(Member member) {
         return member.payload().dataCentre().equals(peers.dataCentre());
     }
 
-    private boolean far(String peer) {
-        return peers.view().stream().anyMatch(member -> member.name().equals(peer) && !near(member));
+    private boolean isRemote(String peer) {
+        return peers.view().stream().anyMatch(member -> member.name().equals(peer) && !isLocal(member));
     }
 
-    private static FleetProtos.Items.Builder encode(List<PublishedItem> published, StorePosition position) {
-        FleetProtos.Items.Builder items =
+    private static FleetProtos.Items.Builder encode(List<PublishedItem> items, StorePosition position) {
+        FleetProtos.Items.Builder message =
                 FleetProtos.Items.newBuilder().setRevision(position.revision()).setEra(position.era());
-        for (PublishedItem item : published) {
-            items.addItems(FleetProtos.Item.newBuilder()
+        for (PublishedItem item : items) {
+            message.addItems(FleetProtos.Item.newBuilder()
                     .setKey(item.key())
                     .setValue(ByteString.copyFrom(item.value()))
                     .setRevision(item.revision())
                     .setDeleted(item.deleted()));
         }
-        return items;
+        return message;
     }
 
-    private void items(String peer, byte[] body) {
-        FleetProtos.Items items;
+    private void receive(String peer, byte[] body) {
+        FleetProtos.Items message;
         try {
-            items = FleetProtos.Items.parseFrom(body);
+            message = FleetProtos.Items.parseFrom(body);
         } catch (InvalidProtocolBufferException e) {
-            LOG.warn("items of a peer can't be read", e);
+            LOG.warn("items sent by a peer can't be read, the message is ignored", e);
             return;
         }
-        List<PublishedItem> published = items.getItemsList().stream()
+        List<PublishedItem> items = message.getItemsList().stream()
                 .map(item -> new PublishedItem(
                         item.getKey(), item.getValue().toByteArray(), item.getRevision(), item.getDeleted()))
                 .toList();
-        publications.hold(items.getHoldMillis());
-        StorePosition position = new StorePosition(items.getEra(), items.getRevision());
-        if (items.hasAfter()) {
+        publications.holdDeletions(message.getHoldMillis());
+        StorePosition position = new StorePosition(message.getEra(), message.getRevision());
+        if (message.hasAfter()) {
             boolean ahead = position.isAfter(publications.position());
-            StorePosition after = new StorePosition(items.getAfterEra(), items.getAfter());
-            boolean news = publications.applyRelayedChanges(published, after, position);
-            if ((news || ahead) && far(peer) && plan().isRelay()) {
-                sendNear(body);
+            StorePosition after = new StorePosition(message.getAfterEra(), message.getAfter());
+            boolean hasNewChanges = publications.applyRelayedChanges(items, after, position);
+            if ((hasNewChanges || ahead) && isRemote(peer) && plan().isRelay()) {
+                sendWithinDataCentre(body);
             }
         } else {
-            publications.state(published, position);
+            publications.applySnapshot(items, position);
         }
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/LimitNoticeCodec.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/LimitNoticeCodec.java
@@ -7,7 +7,7 @@
 import org.dotterelcourse.gateway.fleet.generated.FleetProtos;
 import org.dotterelcourse.policy.rate.LimitNotice;
 
-/** Notices of workers' limits as columns of a message, and back. */
+/** Encodes notices of request rate limits of workers as columns of a message, and decodes them. */
 final class LimitNoticeCodec {
     private static final double NO_LIMIT = -1;
 
@@ -22,14 +22,15 @@
     }
 
     /**
-     * Reads columns.
+     * Decodes columns of a message.
      *
-     * @throws IllegalArgumentException if they don't have the same length
+     * @throws IllegalArgumentException if the columns differ in length
      */
     static List<LimitNotice> decode(FleetProtos.WorkerLimits columns) {
         int count = columns.getWorkerCount();
         if (columns.getPerSecondCount() != count || columns.getAgoMillisCount() != count) {
-            throw new IllegalArgumentException("columns of different lengths, " + count + " workers");
+            throw new IllegalArgumentException(
+                    "columns differ in length, expected " + count + " values (one per worker)");
         }
         List<LimitNotice> notices = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/LoadCodec.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/LoadCodec.java
@@ -6,28 +6,28 @@
 import org.dotterelcourse.gateway.fleet.generated.FleetProtos;
 import org.dotterelcourse.gateway.workers.PeerLoads;
 
-/** Loads of workers as columns of a message, and back. */
+/** Encodes loads of workers as columns of a message, and decodes them. */
 final class LoadCodec {
-    /** Counts that fade are told in tenths. */
-    private static final double TENTHS = 10;
+    /** Decayed counts are transmitted as integers, in tenths. */
+    private static final double UNITS_PER_OUTCOME = 10;
 
     private LoadCodec() {}
 
     static FleetProtos.WorkerLoads encode(Map<Integer, PeerLoads.Load> loads) {
         FleetProtos.WorkerLoads.Builder columns = FleetProtos.WorkerLoads.newBuilder();
-        loads.forEach((key, load) -> columns.addWorker(key)
+        loads.forEach((worker, load) -> columns.addWorker(worker)
                 .addInFlight(load.inFlight())
                 .addInteractive(load.interactive())
                 .addPrefillMillis((int) Math.round(load.prefillMillis()))
-                .addSucceeded((int) Math.round(TENTHS * load.succeeded()))
-                .addFailed((int) Math.round(TENTHS * load.failed())));
+                .addSucceeded((int) Math.round(UNITS_PER_OUTCOME * load.succeeded()))
+                .addFailed((int) Math.round(UNITS_PER_OUTCOME * load.failed())));
         return columns.build();
     }
 
     /**
-     * Reads columns.
+     * Decodes columns of a message.
      *
-     * @throws IllegalArgumentException if they don't have the same length
+     * @throws IllegalArgumentException if the columns differ in length
      */
     static Map<Integer, PeerLoads.Load> decode(FleetProtos.WorkerLoads columns) {
         int count = columns.getWorkerCount();
@@ -36,7 +36,8 @@
                 || columns.getPrefillMillisCount() != count
                 || columns.getSucceededCount() != count
                 || columns.getFailedCount() != count) {
-            throw new IllegalArgumentException("columns of different lengths, " + count + " workers");
+            throw new IllegalArgumentException(
+                    "columns differ in length, expected " + count + " values (one per worker)");
         }
         Map<Integer, PeerLoads.Load> loads = new HashMap<>();
         for (int i = 0; i < count; i++) {
@@ -44,8 +45,8 @@
                     columns.getInFlight(i),
                     columns.getInteractive(i),
                     columns.getPrefillMillis(i),
-                    columns.getSucceeded(i) / TENTHS,
-                    columns.getFailed(i) / TENTHS);
+                    columns.getSucceeded(i) / UNITS_PER_OUTCOME,
+                    columns.getFailed(i) / UNITS_PER_OUTCOME);
             loads.put(columns.getWorker(i), load);
         }
         return loads;
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/package-info.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** What the processes of the fleet tell each other: what they have in flight, and published items. */
+/** Messages between the processes of a fleet: load reports, notices about workers, and published items. */
 package org.dotterelcourse.gateway.fleet;
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/package-info.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** A router of plain HTTP requests by host and path, built of the daemon's kernel and peers. */
+/** An HTTP reverse proxy that routes requests by host and path: its event loop and the state that its parts share. */
 package org.dotterelcourse.gateway;
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemChange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemChange.java
@@ -1,13 +1,14 @@
 package org.dotterelcourse.gateway.published;
 
 /**
- * News of one item.
+ * A change of one item.
  *
- * @param item its newest known state
- * @param doubtful whether it may only show that the store came back from a copy: the item is missing in the copy, or was
- *     deleted after the copy was made; its owner may write it again, or it may be gone soon
+ * @param item the item after the change
+ * @param uncertain whether the change may be only an effect of restoring the store from a backup: either the item is
+ *     missing from the backup, and its owner may write it again, or it was deleted after the backup was made, and may
+ *     expire soon
  */
-public record ItemChange(PublishedItem item, boolean doubtful) {
+public record ItemChange(PublishedItem item, boolean uncertain) {
     static ItemChange certain(PublishedItem item) {
         return new ItemChange(item, false);
     }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/ItemDecoder.java
@@ -1,23 +1,24 @@
 package org.dotterelcourse.gateway.published;
 
-/** Turns items into what the router believes. */
+/** Decodes published items and applies them to the state of the router. */
 public interface ItemDecoder {
     /**
-     * An item was published, changed or deleted.
+     * Applies an item that was published, changed or deleted.
      *
-     * @param item its newest state
-     * @param nowNanos the time on the monotonic clock
+     * @param item the item after the change
+     * @param nowNanos current monotonic time in nanoseconds
      */
     void applyChange(PublishedItem item, long nowNanos);
 
     /**
-     * Whether an item's deletion may be undone shortly after the store has come back.
+     * Returns whether an item is a lease, which expires unless its owner renews it. Owners write expired leases again
+     * shortly after the store has recovered.
      *
-     * @param key the item's key
-     * @return true for entries that their owners renew
+     * @param key key of the item
+     * @return true if the item is renewed by its owner
      */
     boolean isLeased(String key);
 
-    /** All items are known up to some revision. */
+    /** Called once, when all items up to some position have been applied. */
     void completeInitialLoad();
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/Publications.java
@@ -11,24 +11,28 @@
 import org.dotterelcourse.gateway.GatewayState;
 
 /**
- * Takes what the store and peers tell of published items, and has the news decoded. Used on the gateway's loop only.
+ * Merges published items from the store and from peers and passes changes to the {@link ItemDecoder}. Not thread-safe;
+ * used on the gateway's event loop only.
  *
- * <p>Workers renew their entries; while the store is away these run out. A process that dropped all of them in the
- * moment of the store's return would refuse everything for a second or two. So such deletions take effect a little
- * after the return, unless the worker has come back by then.
+ * <p>Workers renew their entries, which expire while the store is unavailable. A process that dropped all expired
+ * workers as soon as the store recovers would reject every request for a second or two. Deletions of leases are
+ * therefore delayed after a recovery and skipped if the worker has published its entry again by then.
  */
 public final class Publications implements Service {
-    /** The name that it is found by. */
+    /** Name of this service in the kernel. */
     public static final ServiceName<Publications> NAME = new ServiceName<>("publications", Publications.class);
 
-    /** Live workers are back within two seconds of the store's return; the bound on new work at a leaving one is two. */
-    private static final long HOLD_MILLIS = 1_900;
+    /**
+     * How long deletions of leases are delayed after the store recovers. Live workers publish their entries again
+     * within two seconds. Must be below two seconds, within which a leaving worker must stop receiving requests.
+     */
+    private static final long DELETION_HOLD_MILLIS = 1_900;
 
     /**
-     * How long an entry that had been deleted is left out after it has come back with a copy. One that nobody renews runs
-     * out in this time.
+     * How long a deleted lease is ignored after it has reappeared because the store was restored from a backup. A lease
+     * whose owner no longer exists expires within this time.
      */
-    private static final long COPIED_MILLIS = 5_000;
+    private static final long RESTORED_LEASE_DELAY_MILLIS = 5_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -36,33 +40,33 @@
     private final StoreFollowerElection followerElection;
     private final ItemDecoder decoder;
     private GatewayLoop loop;
-    private long holdUntilNanos;
-    private boolean complete;
+    private long holdEndNanos;
+    private boolean initialLoadComplete;
     private ReadListener readListener = (changes, after, upTo) -> {};
 
-    /** Hears of changes that this process has read from the store. */
+    /** Listener for changes that this process has read from the store itself. */
     @FunctionalInterface
     public interface ReadListener {
         /**
-         * Changes were read.
+         * Called after changes were read and applied.
          *
-         * @param changes the changes
-         * @param after the position that they follow
-         * @param upTo the position up to which they are complete
+         * @param changes the changed items
+         * @param after position that the changes directly follow
+         * @param upTo position up to which the changes are complete
          */
-        void read(List<PublishedItem> changes, StorePosition after, StorePosition upTo);
+        void onRead(List<PublishedItem> changes, StorePosition after, StorePosition upTo);
     }
 
     /**
-     * Makes publications of which nothing is known.
+     * Creates the service without any items.
      *
-     * @param decoder takes the news
-     * @param bound the time within which changes must be in force
-     * @param incarnation rises with every start of a process of this name
+     * @param decoder called with each change
+     * @param propagationDeadline time within which changes in the store must take effect in this process
+     * @param incarnation number that increases with every start of a process of this name
      */
-    public Publications(ItemDecoder decoder, Duration bound, long incarnation) {
+    public Publications(ItemDecoder decoder, Duration propagationDeadline, long incarnation) {
         this.decoder = decoder;
-        this.followerElection = new StoreFollowerElection(bound, incarnation);
+        this.followerElection = new StoreFollowerElection(propagationDeadline, incarnation);
     }
 
     @Override
@@ -78,162 +82,162 @@
     @Override
     public List<StartupFailure> start(Kernel kernel) {
         loop = kernel.find(GatewayLoop.NAME);
-        holdUntilNanos = loop.nowNanos();
+        holdEndNanos = loop.nowNanos();
         return List.of();
     }
 
     @Override
     public void stop() {
-        // It holds no resources.
+        // Holds no resources.
     }
 
     /**
-     * The position up to which everything is known.
+     * Returns the position up to which all changes are known.
      *
-     * @return {@link StorePosition#NONE} before the first whole state
+     * @return the position; {@link StorePosition#NONE} before the first snapshot
      */
     public StorePosition position() {
         return items.position();
     }
 
     /**
-     * All items that exist, for a peer that is behind.
+     * Returns all existing items, for a peer that has missed changes.
      *
-     * @return the items
+     * @return the items at {@link #position}
      */
     public List<PublishedItem> live() {
         return items.live();
     }
 
     /**
-     * Whether this process follows the store or relies on peers.
+     * Returns the election that decides whether this process polls the store or relies on peers.
      *
-     * @return the decision's state
+     * @return the election, as seen by this process
      */
     public StoreFollowerElection followerElection() {
         return followerElection;
     }
 
     /**
-     * Calls back with changes from the store.
+     * Sets the listener for changes that this process has read from the store.
      *
-     * @param listener must not block; there is one
+     * @param listener called on the gateway's event loop, must not block; replaces an earlier listener
      */
-    public void onRead(ReadListener listener) {
+    public void setReadListener(ReadListener listener) {
         readListener = listener;
     }
 
-    /** The store answers again after it did not. */
+    /** Records that the store has responded after an outage, and delays deletions of leases from now on. */
     public void recordStoreRecovery() {
-        hold(HOLD_MILLIS);
+        holdDeletions(DELETION_HOLD_MILLIS);
     }
 
     /**
-     * A peer has seen the store come back.
+     * Delays deletions of leases, because a peer does so after a recovery of the store. Never shortens the delay.
      *
-     * @param millis how much longer deletions of renewed items are held back, 0 if they are not
+     * @param millis remaining delay in milliseconds, 0 for none
      */
-    public void hold(long millis) {
-        long untilNanos = loop.nowNanos() + millis * NANOS_PER_MILLI;
-        if (millis > 0 && untilNanos - holdUntilNanos > 0) {
-            holdUntilNanos = untilNanos;
+    public void holdDeletions(long millis) {
+        long endNanos = loop.nowNanos() + millis * NANOS_PER_MILLI;
+        if (millis > 0 && endNanos - holdEndNanos > 0) {
+            holdEndNanos = endNanos;
         }
     }
 
     /**
-     * How much longer deletions of renewed items are held back.
+     * Returns how much longer deletions of leases are delayed.
      *
-     * @return milliseconds, 0 if they are not
+     * @return remaining delay in milliseconds, 0 for none
      */
-    public long holdMillis() {
-        return Math.max(0, (holdUntilNanos - loop.nowNanos()) / NANOS_PER_MILLI);
+    public long deletionHoldMillis() {
+        return Math.max(0, (holdEndNanos - loop.nowNanos()) / NANOS_PER_MILLI);
     }
 
     /**
-     * Changes were read from the store.
+     * Applies changes that this process has read from the store, and passes them to the read listener.
      *
-     * @param changes the changes
-     * @param after the position that they follow, one that was known
-     * @param upTo the position up to which they are complete
+     * @param changes the changed items
+     * @param after position that the changes directly follow; the position of this process when it sent the call
+     * @param upTo position up to which the changes are complete
      */
     public void applyStoreChanges(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
         apply(items.merge(changes, after, upTo));
         if (!changes.isEmpty()) {
-            readListener.read(changes, after, upTo);
+            readListener.onRead(changes, after, upTo);
         }
     }
 
     /**
-     * Changes came from a peer; some may be missing before them.
+     * Applies changes that a peer has relayed. Changes before them may be missing.
      *
-     * @param changes the changes
-     * @param after the position that they follow
-     * @param upTo the position up to which they are complete
+     * @param changes the changed items
+     * @param after position that the changes directly follow
+     * @param upTo position up to which the changes are complete
      * @return whether any of them was new
      */
     public boolean applyRelayedChanges(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
-        List<ItemChange> news = items.merge(changes, after, upTo);
-        apply(news);
-        return !news.isEmpty();
+        List<ItemChange> newChanges = items.merge(changes, after, upTo);
+        apply(newChanges);
+        return !newChanges.isEmpty();
     }
 
     /**
-     * The whole state was read from the store. Peers are told what has changed in it.
+     * Applies a snapshot that this process has read from the store, and passes the differences to the read listener.
      *
-     * @param state all items
-     * @param at its position
+     * @param snapshot all existing items
+     * @param at position of the snapshot
      */
-    public void applyStoreSnapshot(List<PublishedItem> state, StorePosition at) {
+    public void applyStoreSnapshot(List<PublishedItem> snapshot, StorePosition at) {
         StorePosition before = items.position();
-        boolean known = before.revision() > 0;
-        if (known && at.era() > before.era()) {
+        boolean hasSnapshot = before.revision() > 0;
+        if (hasSnapshot && at.era() > before.era()) {
             recordStoreRecovery();
         }
-        List<PublishedItem> news = state(state, at);
-        if (known && !news.isEmpty()) {
-            readListener.read(news, before, at);
+        List<PublishedItem> changes = applySnapshot(snapshot, at);
+        if (hasSnapshot && !changes.isEmpty()) {
+            readListener.onRead(changes, before, at);
         }
     }
 
     /**
-     * A whole state is known, from the store or a peer.
+     * Applies a snapshot from the store or a peer.
      *
-     * @param state all items
-     * @param at its position
-     * @return what has changed in it
+     * @param snapshot all existing items
+     * @param at position of the snapshot
+     * @return the items that have changed, including deleted ones
      */
-    public List<PublishedItem> state(List<PublishedItem> state, StorePosition at) {
-        List<ItemChange> news = items.replace(state, at);
-        apply(news);
-        if (!complete && at.revision() > 0) {
-            complete = true;
+    public List<PublishedItem> applySnapshot(List<PublishedItem> snapshot, StorePosition at) {
+        List<ItemChange> newChanges = items.mergeSnapshot(snapshot, at);
+        apply(newChanges);
+        if (!initialLoadComplete && at.revision() > 0) {
+            initialLoadComplete = true;
             decoder.completeInitialLoad();
         }
-        return news.stream().map(ItemChange::item).toList();
+        return newChanges.stream().map(ItemChange::item).toList();
     }
 
-    private void apply(List<ItemChange> news) {
-        for (ItemChange change : news) {
+    private void apply(List<ItemChange> newChanges) {
+        for (ItemChange change : newChanges) {
             PublishedItem item = change.item();
-            boolean renewed = decoder.isLeased(item.key());
-            long heldMillis = holdMillis();
-            if (item.deleted() && heldMillis > 0 && (renewed || change.doubtful())) {
-                loop.runAfter(heldMillis + 1, () -> deleteUnlessBack(item));
-            } else if (!item.deleted() && renewed && change.doubtful()) {
-                loop.runAfter(COPIED_MILLIS, () -> addUnlessGone(item.key()));
+            boolean leased = decoder.isLeased(item.key());
+            long holdMillis = deletionHoldMillis();
+            if (item.deleted() && holdMillis > 0 && (leased || change.uncertain())) {
+                loop.runAfter(holdMillis + 1, () -> deleteUnlessRepublished(item));
+            } else if (!item.deleted() && leased && change.uncertain()) {
+                loop.runAfter(RESTORED_LEASE_DELAY_MILLIS, () -> addUnlessDeleted(item.key()));
             } else {
                 decoder.applyChange(item, loop.nowNanos());
             }
         }
     }
 
-    private void deleteUnlessBack(PublishedItem item) {
+    private void deleteUnlessRepublished(PublishedItem item) {
         if (items.find(item.key()).isEmpty()) {
             decoder.applyChange(item, loop.nowNanos());
         }
     }
 
-    private void addUnlessGone(String key) {
+    private void addUnlessDeleted(String key) {
         items.find(key).ifPresent(item -> decoder.applyChange(item, loop.nowNanos()));
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/PublishedItem.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/PublishedItem.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * One item as it was last published.
+ * The latest known state of a published item.
  *
  * @param key its key
- * @param value its bytes; empty for one that was deleted
- * @param revision the revision of its last change
- * @param deleted whether that change deleted it
+ * @param value its value; empty for a deleted item
+ * @param revision revision of its last change
+ * @param deleted whether that change deleted the item
  */
 public record PublishedItem(String key, byte[] value, long revision, boolean deleted) {
     @Override
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/PublishedItems.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/PublishedItems.java
@@ -10,173 +10,182 @@
 import java.util.Set;
 
 /**
- * The newest known state of every item, merged from reads, watches and peers. Within an era an item never goes back to an
- * older revision, whichever way and order news arrives in: a machine that was cut off or reads an old copy would otherwise
- * bring back a key that was revoked. Not safe for use by several threads.
+ * The latest known state of every published item, merged from store reads and messages of peers. Within an era, an item
+ * never returns to an older revision, regardless of the source and order of updates. Otherwise, a process that was
+ * disconnected or reads a stale replica would restore a key that was revoked. Not thread-safe.
  */
 public final class PublishedItems {
-    /** Deletions are kept so that a late copy of a deleted item is not taken for a new one. */
-    private static final int MOST_DELETED = 4_096;
+    /** Tombstones are kept so that a late message with a deleted item is not taken for a new item. */
+    private static final int MAX_TOMBSTONES = 4_096;
 
     private final Map<String, PublishedItem> items = new HashMap<>();
 
-    /** Of deleted items, the revision of their last state before. */
-    private final Map<String, Long> lastRevisions = new HashMap<>();
+    /** Revision that each deleted item had before its deletion, by key. */
+    private final Map<String, Long> revisionsBeforeDeletion = new HashMap<>();
 
     private StorePosition position = StorePosition.NONE;
-    private int deletedCount;
+    private int tombstoneCount;
 
     /**
-     * The position up to which everything is known.
+     * Returns the position up to which all changes are known.
      *
-     * @return {@link StorePosition#NONE} before the first whole read
+     * @return the position; {@link StorePosition#NONE} before the first complete read
      */
     public StorePosition position() {
         return position;
     }
 
     /**
-     * Merges changes that may have a gap before them. Each is taken if it is news, but where some are missing, not
-     * everything is known up to their position. Changes that lead into a new era are taken only where what they follow is
-     * what is known; those of an era before are not.
+     * Merges consecutive changes. If changes before them are missing, each newer item is still applied, but the
+     * position does not advance. Changes that begin a new era are applied only if they directly follow the current
+     * position; changes of an earlier era are ignored.
      *
-     * @param changes the changes
-     * @param after the position that they follow
-     * @param upTo the position up to which they are complete
-     * @return those that were new
+     * @param changes the changed items
+     * @param after position that the changes directly follow
+     * @param upTo position up to which the changes are complete
+     * @return the changes that were new
      */
     public List<ItemChange> merge(List<PublishedItem> changes, StorePosition after, StorePosition upTo) {
         if (upTo.era() != position.era()) {
-            return upTo.isAfter(position) && after.equals(position) ? enter(changes, upTo) : List.of();
+            return upTo.isAfter(position) && after.equals(position) ? enterEra(changes, upTo) : List.of();
         }
-        List<ItemChange> news = take(changes);
+        List<ItemChange> applied = applyNewer(changes);
         if (!after.isAfter(position) && upTo.isAfter(position)) {
             position = upTo;
         }
-        return news;
+        return applied;
     }
 
     /**
-     * Merges the whole state at a position. What it lacks was deleted, unless it is newer.
+     * Merges a snapshot of the store. Known items that it does not contain are deleted, unless they are newer.
      *
-     * @param state all items
-     * @param at the position; the state is ignored if more is known already
-     * @return what has changed, deletions included
+     * @param snapshot all existing items
+     * @param at position of the snapshot; it is ignored if a later position is known already
+     * @return the changes, including deletions
      */
-    public List<ItemChange> replace(List<PublishedItem> state, StorePosition at) {
+    public List<ItemChange> mergeSnapshot(List<PublishedItem> snapshot, StorePosition at) {
         if (position.isAfter(at)) {
             return List.of();
         }
         boolean sameEra = at.era() == position.era();
-        Set<String> present = new HashSet<>();
-        state.forEach(item -> present.add(item.key()));
-        List<PublishedItem> changes = new ArrayList<>(state);
-        for (PublishedItem known : items.values()) {
-            if (!present.contains(known.key()) && !known.deleted() && (!sameEra || known.revision() <= at.revision())) {
-                long revision = sameEra ? Math.max(at.revision(), known.revision() + 1) : at.revision();
-                changes.add(new PublishedItem(known.key(), new byte[0], revision, true));
+        Set<String> presentKeys = new HashSet<>();
+        snapshot.forEach(item -> presentKeys.add(item.key()));
+        List<PublishedItem> changes = new ArrayList<>(snapshot);
+        for (PublishedItem current : items.values()) {
+            if (!presentKeys.contains(current.key())
+                    && !current.deleted()
+                    && (!sameEra || current.revision() <= at.revision())) {
+                long revision = sameEra ? Math.max(at.revision(), current.revision() + 1) : at.revision();
+                changes.add(new PublishedItem(current.key(), new byte[0], revision, true));
             }
         }
         if (!sameEra) {
-            return enter(changes, at);
+            return enterEra(changes, at);
         }
         position = at;
-        return take(changes);
+        return applyNewer(changes);
     }
 
     /**
-     * The items that exist.
+     * Returns the existing items.
      *
-     * @return all that are not deleted
+     * @return all items that are not deleted, in no particular order
      */
     public List<PublishedItem> live() {
         return items.values().stream().filter(item -> !item.deleted()).toList();
     }
 
     /**
-     * Finds an item.
+     * Finds an existing item.
      *
-     * @param key its key
+     * @param key key of the item
      * @return the item, empty if it doesn't exist
      */
     public Optional<PublishedItem> find(String key) {
         return Optional.ofNullable(items.get(key)).filter(item -> !item.deleted());
     }
 
-    private List<ItemChange> take(List<PublishedItem> changes) {
-        List<ItemChange> news = new ArrayList<>();
+    private List<ItemChange> applyNewer(List<PublishedItem> changes) {
+        List<ItemChange> applied = new ArrayList<>();
         for (PublishedItem change : changes) {
-            if (put(change)) {
-                news.add(ItemChange.certain(change));
+            if (putIfNewer(change)) {
+                applied.add(ItemChange.certain(change));
             }
         }
-        return news;
+        return applied;
     }
 
-    /** What is known at the end of an era holds at the new position, but for the changes. */
-    private List<ItemChange> enter(List<PublishedItem> changes, StorePosition at) {
-        List<ItemChange> news = new ArrayList<>();
+    /**
+     * Enters a new era: unchanged items keep their values and get the revision of the new position, since revisions of
+     * the previous era cannot be compared with later ones.
+     */
+    private List<ItemChange> enterEra(List<PublishedItem> changes, StorePosition at) {
+        List<ItemChange> applied = new ArrayList<>();
         for (PublishedItem change : changes) {
-            if (differs(change)) {
-                news.add(new ItemChange(change, doubtful(change)));
+            if (changesItem(change)) {
+                applied.add(new ItemChange(change, isUncertain(change)));
             }
         }
         items.values().removeIf(PublishedItem::deleted);
-        lastRevisions.clear();
+        revisionsBeforeDeletion.clear();
         items.replaceAll((key, item) -> new PublishedItem(key, item.value(), at.revision(), false));
         changes.forEach(change -> items.put(change.key(), change));
-        deletedCount = (int) changes.stream().filter(PublishedItem::deleted).count();
+        tombstoneCount = (int) changes.stream().filter(PublishedItem::deleted).count();
         position = at;
-        return news;
+        return applied;
     }
 
-    private boolean differs(PublishedItem change) {
-        PublishedItem known = items.get(change.key());
-        if (known == null || known.deleted()) {
+    private boolean changesItem(PublishedItem change) {
+        PublishedItem current = items.get(change.key());
+        if (current == null || current.deleted()) {
             return !change.deleted();
         }
-        return change.deleted() || !Arrays.equals(change.value(), known.value());
+        return change.deleted() || !Arrays.equals(change.value(), current.value());
     }
 
-    /** An item that was written again after the copy was made bears a higher revision than it had before it was deleted. */
-    private boolean doubtful(PublishedItem change) {
-        PublishedItem known = items.get(change.key());
-        if (known == null) {
+    /**
+     * Returns whether a change at the beginning of an era may be only an effect of the restore. An item that was
+     * written again after the backup was made has a higher revision than before its deletion, so its change is certain.
+     */
+    private boolean isUncertain(PublishedItem change) {
+        PublishedItem current = items.get(change.key());
+        if (current == null) {
             return false;
         }
         return change.deleted()
-                || known.deleted() && change.revision() <= lastRevisions.getOrDefault(change.key(), known.revision());
+                || current.deleted()
+                        && change.revision() <= revisionsBeforeDeletion.getOrDefault(change.key(), current.revision());
     }
 
-    private boolean put(PublishedItem change) {
-        PublishedItem known = items.get(change.key());
-        if (known != null && known.revision() >= change.revision()) {
+    private boolean putIfNewer(PublishedItem change) {
+        PublishedItem current = items.get(change.key());
+        if (current != null && current.revision() >= change.revision()) {
             return false;
         }
-        boolean knownDeleted = known != null && known.deleted();
-        deletedCount += (change.deleted() ? 1 : 0) - (knownDeleted ? 1 : 0);
+        boolean wasDeleted = current != null && current.deleted();
+        tombstoneCount += (change.deleted() ? 1 : 0) - (wasDeleted ? 1 : 0);
         if (!change.deleted()) {
-            lastRevisions.remove(change.key());
-        } else if (known != null && !knownDeleted) {
-            lastRevisions.put(change.key(), known.revision());
+            revisionsBeforeDeletion.remove(change.key());
+        } else if (current != null && !wasDeleted) {
+            revisionsBeforeDeletion.put(change.key(), current.revision());
         }
         items.put(change.key(), change);
-        if (deletedCount > MOST_DELETED) {
-            forgetOldestDeletions();
+        if (tombstoneCount > MAX_TOMBSTONES) {
+            evictOlderTombstones();
         }
-        return known == null || !known.deleted() || !change.deleted();
+        return current == null || !current.deleted() || !change.deleted();
     }
 
-    private void forgetOldestDeletions() {
+    private void evictOlderTombstones() {
         long[] revisions = items.values().stream()
                 .filter(PublishedItem::deleted)
                 .mapToLong(PublishedItem::revision)
                 .sorted()
                 .toArray();
-        long middle = revisions[revisions.length / 2];
-        items.values().removeIf(item -> item.deleted() && item.revision() <= middle);
-        lastRevisions.keySet().retainAll(items.keySet());
-        deletedCount =
+        long medianRevision = revisions[revisions.length / 2];
+        items.values().removeIf(item -> item.deleted() && item.revision() <= medianRevision);
+        revisionsBeforeDeletion.keySet().retainAll(items.keySet());
+        tombstoneCount =
                 (int) items.values().stream().filter(PublishedItem::deleted).count();
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StoreFollowerElection.java
@@ -8,265 +8,279 @@
 import java.util.Map;
 
 /**
- * Whether this process has to follow the platform's store itself, or may rely on peers that do. Used on one thread only.
+ * Decides whether this process polls the platform's store itself (is a follower) or relies on peers that relay changes.
+ * Not thread-safe.
  *
- * <p>It answers the growth of a fleet: each change of any worker ends a waiting call of every process that follows, so
- * that 59 processes made 190 calls a second while 101 workers started. So the first few processes of an order on which
- * all agree follow on behalf of the others, who rest while they hear of enough that stand before them. A process that
- * hears of too few, or that stays behind what peers know, follows by itself: those that followed may be lost or turned
- * away by the store, it may be cut off from its peers and not from the store, or messages with changes may get lost on a
- * connection that has gone silent.
+ * <p>Answers the growth of a fleet: each change of any worker ends a long poll of every follower, so that 59 processes
+ * made 190 calls a second while 101 workers started. Therefore only the first few processes of a ranking on which all
+ * agree follow the store, and the others rely on them while reports show enough followers of better rank. A process
+ * that learns of too few followers, or that keeps lagging behind its peers, follows the store by itself: the followers
+ * may have been lost or be rejected by the store, the process may be disconnected from its peers but not from the
+ * store, or messages with changes may get lost on a broken connection.
  *
- * <p>Those that come into question after a loss begin one after the other, in groups that double. If all began at once,
- * a store that turns some processes away would be called by all others until it takes these back.
+ * <p>After a loss of followers, candidates take over in groups that double in size. If all processes began at once, a
+ * store that rejects some processes would be polled by all others until it accepts these again.
  */
 public final class StoreFollowerElection {
-    private static final long MILLISECOND = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** A call waits for half of the time within which changes must be in force, so that a silent one is noticed in it. */
-    private static final double CALL_PART = 0.5;
+    /** Time-out of a long poll as a fraction of the propagation deadline, so that a hung call is noticed within it. */
+    private static final double LONG_POLL_FRACTION = 0.5;
 
     /**
-     * Between two calls this part of that time passes: changes come in groups, and each group is then one call. While
-     * workers start or are replaced, each of them would end a call.
+     * Delay between two long polls as a fraction of the propagation deadline. While workers start or are replaced, each
+     * change would otherwise end a call; with the delay, one call returns a batch of changes.
      */
-    private static final double GATHER_PART = 0.05;
+    private static final double BATCH_FRACTION = 0.05;
 
     /**
-     * What is heard of a follower counts for this part: its last answer may be as old as a call and the time between two,
-     * and the word of it travels for up to 0.3 s.
+     * How long a report of a follower is valid, as a fraction of the propagation deadline. Its last answer may be as
+     * old as a long poll and the delay between two, and the report takes up to 0.3 s to arrive.
      */
-    private static final double FRESH_PART = 0.75;
+    private static final double REPORT_TTL_FRACTION = 0.75;
 
     /**
-     * Between groups that come into question while nobody follows: the seventh group, the last one of 250 processes, still
-     * begins within the time.
+     * Delay between two groups of candidates while no follower is known, as a fraction of the propagation deadline. The
+     * seventh group, the last one of 250 processes, still begins within the deadline.
      */
-    private static final double STEP_PART = 0.025;
+    private static final double TAKEOVER_STEP_FRACTION = 0.025;
 
-    /** The same while somebody follows, or before any peer was heard: there is no hurry, and peers will be heard of. */
-    private static final double CALM_STEP_PART = 0.125;
+    /**
+     * Delay between two groups of candidates if a follower is known, or before the first report of a peer. It is
+     * longer, because changes still arrive, or because peers are likely to report soon.
+     */
+    private static final double RELAXED_STEP_FRACTION = 0.125;
 
-    /** How long a process may stay behind: asking a peer takes a few milliseconds and is tried first. */
-    private static final long BEHIND_NANOS = 400 * MILLISECOND;
+    /**
+     * How long a process may lag behind its peers before it polls the store. It first requests the changes from a peer,
+     * which takes a few milliseconds.
+     */
+    private static final long MAX_STALE_NANOS = 400 * NANOS_PER_MILLI;
 
     /**
-     * Processes that ask a store that is away as often as one alone would; more of them take turns. With pauses of half a
-     * second these are eight calls a second of the whole fleet, and the first that is answered is told on.
+     * Number of processes that may retry an unavailable store as often as a single process would; a larger fleet
+     * retries less often per process. With delays of half a second, the whole fleet makes eight calls a second, and the
+     * first successful one is reported to the others.
      */
-    private static final int ASKING = 4;
+    private static final int RETRYING_PROCESSES = 4;
 
-    private final long boundNanos;
-    private final Map<Integer, Word> heard = new HashMap<>();
+    private final long deadlineNanos;
+    private final Map<Integer, Answer> lastAnswers = new HashMap<>();
     private final Map<Integer, Integer> ranks = new HashMap<>();
-    private int self;
-    private int wanted = 1;
-    private boolean met;
-    private boolean follows;
-    private long answers;
-    private long answeredNanos;
-    private long newsNanos;
-    private boolean behind;
-    private long behindNanos;
-    private boolean uncovered;
-    private long uncoveredNanos;
+    private int selfId;
+    private int followerCount = 1;
+    private boolean reportReceived;
+    private boolean following;
+    private long ownAnswers;
+    private long ownAnswerNanos;
+    private long lastChangeNanos;
+    private boolean stale;
+    private long staleSinceNanos;
+    private boolean tooFewFollowers;
+    private long tooFewSinceNanos;
 
     /**
-     * A process that follows the store, as it is told to peers.
+     * A process that follows the store, as reported to peers.
      *
-     * @param id stands for its name
-     * @param answer number of its last answer of the store
-     * @param ageMillis how long ago it had that answer
+     * @param id hash of its name
+     * @param answer sequence number of the last answer that it received from the store
+     * @param ageMillis time in milliseconds since it received that answer
      */
     public record Follower(int id, long answer, long ageMillis) {}
 
-    /** The last answer that a process had, and when, on this process's clock. */
-    private record Word(long answer, long atNanos) {}
+    /** The last answer of the store to a process, with the time on the clock of this process. */
+    private record Answer(long sequence, long atNanos) {}
 
     /**
-     * Makes a process's duty before it knows any other.
+     * Creates the election without any other process.
      *
-     * @param bound the time within which changes must be in force
-     * @param incarnation rises with every start of a process of this name; its answers are counted from there, so that
-     *     peers don't take them for older than those of its last life
+     * @param propagationDeadline time within which changes in the store must take effect
+     * @param incarnation number that increases with every start of a process of this name; the sequence numbers of its
+     *     answers start there, so that peers don't consider them older than those of the previous process
      */
-    public StoreFollowerElection(Duration bound, long incarnation) {
-        boundNanos = bound.toNanos();
-        answers = incarnation;
+    public StoreFollowerElection(Duration propagationDeadline, long incarnation) {
+        deadlineNanos = propagationDeadline.toNanos();
+        ownAnswers = incarnation;
     }
 
     /**
-     * The processes of the fleet are known.
+     * Updates the processes of the fleet.
      *
-     * @param ownId stands for this process's name
-     * @param order all processes' ids, the first to follow first
-     * @param followers how many are to follow
+     * @param ownId hash of this process's name
+     * @param ranking ids of all processes, the preferred followers first
+     * @param followers number of processes that should follow the store
      */
-    public void order(int ownId, List<Integer> order, int followers) {
-        self = ownId;
-        wanted = followers;
+    public void updateRanking(int ownId, List<Integer> ranking, int followers) {
+        selfId = ownId;
+        followerCount = followers;
         ranks.clear();
-        for (int id : order) {
+        for (int id : ranking) {
             ranks.putIfAbsent(id, ranks.size());
         }
-        heard.keySet().retainAll(ranks.keySet());
+        lastAnswers.keySet().retainAll(ranks.keySet());
     }
 
     /**
-     * A peer has told of a process that follows, which may be this one.
+     * Records a follower that a peer has reported; it may be this process.
      *
-     * <p>The first word of an answer counts. A later one of the same answer has been longer on its way, in a busy process
-     * by tens of milliseconds, and would make it look younger; with ten reports a second to and fro, the word of a process
-     * that is gone would live much longer than it may. So words are also kept when they are too old to count.
+     * <p>Only the first report of an answer counts. A later report of the same answer has been in transit for longer,
+     * by tens of milliseconds in a busy process, and would make the answer appear more recent. With ten reports a
+     * second in each direction, the entry of a dead process would remain valid far beyond its lifetime. For the same
+     * reason, entries are kept after they have expired.
      *
-     * @param follower what the peer said
-     * @param nowNanos the time
+     * @param follower the follower, as reported by the peer
+     * @param nowNanos current monotonic time in nanoseconds
      */
-    public void heard(Follower follower, long nowNanos) {
-        met = true;
-        Word known = heard.get(follower.id());
-        if (follower.id() != self && (known == null || known.answer() < follower.answer())) {
-            heard.put(follower.id(), new Word(follower.answer(), nowNanos - follower.ageMillis() * MILLISECOND));
-            newsNanos = nowNanos;
+    public void recordFollower(Follower follower, long nowNanos) {
+        reportReceived = true;
+        Answer previous = lastAnswers.get(follower.id());
+        if (follower.id() != selfId && (previous == null || previous.sequence() < follower.answer())) {
+            lastAnswers.put(
+                    follower.id(), new Answer(follower.answer(), nowNanos - follower.ageMillis() * NANOS_PER_MILLI));
+            lastChangeNanos = nowNanos;
         }
     }
 
     /**
-     * Some peer knows more than this process, or none does.
+     * Records whether a peer has a later position of the store than this process.
      *
-     * @param isBehind whether one does
-     * @param nowNanos the time
+     * @param isStale true if some peer has a later position
+     * @param nowNanos current monotonic time in nanoseconds
      */
-    public void behind(boolean isBehind, long nowNanos) {
-        if (isBehind && !behind) {
-            behindNanos = nowNanos;
+    public void recordStaleness(boolean isStale, long nowNanos) {
+        if (isStale && !stale) {
+            staleSinceNanos = nowNanos;
         }
-        behind = isBehind;
+        stale = isStale;
     }
 
     /**
-     * The store has answered this process.
+     * Records an answer of the store to this process, which thereby becomes a follower.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordStoreAnswer(long nowNanos) {
-        follows = true;
-        answers++;
-        answeredNanos = nowNanos;
-        newsNanos = nowNanos;
+        following = true;
+        ownAnswers++;
+        ownAnswerNanos = nowNanos;
+        lastChangeNanos = nowNanos;
     }
 
-    /** The store has not answered this process, or is no longer asked. */
+    /** Records that the store did not answer this process, or that this process no longer polls it. */
     public void stopFollowing() {
-        follows = false;
+        following = false;
     }
 
     /**
-     * Whether something of those that follow has become known since some moment.
+     * Returns whether an answer of the store to any follower has become known since a point in time.
      *
-     * @param nanos the moment
-     * @return true if peers should hear of it
+     * @param nanos the point in monotonic time, in nanoseconds
+     * @return true if this should be reported to peers
      */
-    public boolean newsSince(long nanos) {
-        return newsNanos - nanos > 0;
+    public boolean hasChangedSince(long nanos) {
+        return lastChangeNanos - nanos > 0;
     }
 
     /**
-     * Whether to call the store.
+     * Returns whether this process should poll the store.
      *
-     * @param nowNanos the time
-     * @return false if others do
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return false if enough other processes do
      */
     public boolean shouldFollow(long nowNanos) {
-        int own = rank();
-        int following = 0;
-        int before = 0;
-        for (Map.Entry<Integer, Word> each : heard.entrySet()) {
-            if (fresh(each.getValue(), nowNanos)) {
-                following++;
-                before += ranks.getOrDefault(each.getKey(), Integer.MAX_VALUE) < own ? 1 : 0;
+        int ownRank = rank();
+        int activeFollowers = 0;
+        int preferredFollowers = 0;
+        for (Map.Entry<Integer, Answer> entry : lastAnswers.entrySet()) {
+            if (isValid(entry.getValue(), nowNanos)) {
+                activeFollowers++;
+                preferredFollowers += ranks.getOrDefault(entry.getKey(), Integer.MAX_VALUE) < ownRank ? 1 : 0;
             }
         }
-        boolean lacking = before < wanted;
-        if (lacking && !uncovered) {
-            uncoveredNanos = nowNanos;
+        boolean tooFew = preferredFollowers < followerCount;
+        if (tooFew && !tooFewFollowers) {
+            tooFewSinceNanos = nowNanos;
         }
-        uncovered = lacking;
-        boolean lost = behind && nowNanos - behindNanos > BEHIND_NANOS;
-        return lost || lacking && (follows || nowNanos - uncoveredNanos >= turnNanos(own, following > 0));
+        tooFewFollowers = tooFew;
+        boolean staleTooLong = stale && nowNanos - staleSinceNanos > MAX_STALE_NANOS;
+        return staleTooLong
+                || tooFew
+                        && (following
+                                || nowNanos - tooFewSinceNanos >= takeoverDelayNanos(ownRank, activeFollowers > 0));
     }
 
     private int rank() {
-        return ranks.getOrDefault(self, 0);
+        return ranks.getOrDefault(selfId, 0);
     }
 
-    /** How long after too few are known to follow a process's turn comes. */
-    private long turnNanos(int rank, boolean anybodyFollows) {
-        if (!met) {
-            return part(CALM_STEP_PART);
+    /** Returns how long after a lack of followers was noticed a process of the given rank takes over. */
+    private long takeoverDelayNanos(int rank, boolean hasFollower) {
+        if (!reportReceived) {
+            return fractionOfDeadline(RELAXED_STEP_FRACTION);
         }
-        int group = Integer.SIZE - Integer.numberOfLeadingZeros(rank / wanted);
-        return group * part(anybodyFollows ? CALM_STEP_PART : STEP_PART);
+        int group = Integer.SIZE - Integer.numberOfLeadingZeros(rank / followerCount);
+        return group * fractionOfDeadline(hasFollower ? RELAXED_STEP_FRACTION : TAKEOVER_STEP_FRACTION);
     }
 
-    private long part(double part) {
-        return (long) (part * boundNanos);
+    private long fractionOfDeadline(double fraction) {
+        return (long) (fraction * deadlineNanos);
     }
 
     /**
-     * The processes that are known to follow.
+     * Returns the active followers, for reports to peers.
      *
-     * @param nowNanos the time
-     * @return as many as are to follow, the first ones in the order
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the followers of best rank, at most as many as should follow the store
      */
     public List<Follower> followers(long nowNanos) {
         List<Follower> followers = new ArrayList<>();
-        heard.forEach((id, word) -> add(followers, id, word, nowNanos));
-        if (follows) {
-            add(followers, self, new Word(answers, answeredNanos), nowNanos);
+        lastAnswers.forEach((id, answer) -> addIfValid(followers, id, answer, nowNanos));
+        if (following) {
+            addIfValid(followers, selfId, new Answer(ownAnswers, ownAnswerNanos), nowNanos);
         }
-        followers.sort(Comparator.comparing(each -> ranks.getOrDefault(each.id(), Integer.MAX_VALUE)));
-        return followers.subList(0, Math.min(wanted, followers.size()));
+        followers.sort(Comparator.comparing(follower -> ranks.getOrDefault(follower.id(), Integer.MAX_VALUE)));
+        return followers.subList(0, Math.min(followerCount, followers.size()));
     }
 
-    private void add(List<Follower> followers, int id, Word word, long nowNanos) {
-        if (fresh(word, nowNanos)) {
-            followers.add(new Follower(id, word.answer(), Math.max(0, nowNanos - word.atNanos()) / MILLISECOND));
+    private void addIfValid(List<Follower> followers, int id, Answer answer, long nowNanos) {
+        if (isValid(answer, nowNanos)) {
+            followers.add(
+                    new Follower(id, answer.sequence(), Math.max(0, nowNanos - answer.atNanos()) / NANOS_PER_MILLI));
         }
     }
 
-    private boolean fresh(Word word, long nowNanos) {
-        return nowNanos - word.atNanos() < part(FRESH_PART);
+    private boolean isValid(Answer answer, long nowNanos) {
+        return nowNanos - answer.atNanos() < fractionOfDeadline(REPORT_TTL_FRACTION);
     }
 
     /**
-     * How long a waiting call to the store may wait. A connection that has gone silent shows only by its timeout.
+     * Returns the time-out of a long poll of the store. A broken connection is noticed only by this time-out.
      *
-     * @return the time
+     * @return the time-out
      */
     public Duration longPollTimeout() {
-        return Duration.ofNanos(part(CALL_PART));
+        return Duration.ofNanos(fractionOfDeadline(LONG_POLL_FRACTION));
     }
 
     /**
-     * How long to wait between two calls, so that changes that belong together come with one.
+     * Returns the delay between two long polls, during which changes collect into one batch.
      *
-     * @return the time
+     * @return the delay
      */
     public Duration batchDelay() {
-        return Duration.ofNanos(part(GATHER_PART));
+        return Duration.ofNanos(fractionOfDeadline(BATCH_FRACTION));
     }
 
     /**
-     * How long to wait before a store that doesn't answer is asked again. Processes that fail at the same moment are
-     * spread by their place in the order, and stay so.
+     * Returns the delay before an unavailable store is called again. After the first failure it depends on the rank of
+     * the process, which spreads processes that fail at the same time; later delays are equal, so they remain spread.
      *
-     * @param pauseMillis the pause of a process that is alone
-     * @param failures calls that have failed one after the other, this one included
-     * @return the pause
+     * @param baseDelayMillis delay in milliseconds that a single process would use
+     * @param failures number of consecutive failed calls, including the latest one
+     * @return the delay in milliseconds
      */
-    public long retryDelayMillis(long pauseMillis, int failures) {
-        int turns = failures == 1 ? rank() / ASKING + 1 : ranks.size() / ASKING;
-        return pauseMillis * Math.max(1, turns);
+    public long retryDelayMillis(long baseDelayMillis, int failures) {
+        int factor = failures == 1 ? rank() / RETRYING_PROCESSES + 1 : ranks.size() / RETRYING_PROCESSES;
+        return baseDelayMillis * Math.max(1, factor);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StorePosition.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/StorePosition.java
@@ -3,14 +3,14 @@
 import java.util.Comparator;
 
 /**
- * A moment in the life of the platform's store. When the store comes back from a copy, what was written since the copy was
- * made is lost, its revisions are given out again, and a new era begins.
+ * A position in the history of the platform's store. If the store is restored from a backup, writes since the backup
+ * are lost, their revisions are assigned again, and a new era begins.
  *
- * @param era rises each time the store comes back from a copy; 0 of a store that doesn't tell
- * @param revision the number of the last change in that era
+ * @param era number that increases with each restore from a backup; 0 if the store does not report it
+ * @param revision number of the last change in that era
  */
 public record StorePosition(long era, long revision) implements Comparable<StorePosition> {
-    /** Before anything was read. */
+    /** The position before the first read. */
     public static final StorePosition NONE = new StorePosition(0, 0);
 
     private static final Comparator<StorePosition> ORDER =
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Whether this is later than another one.
+     * Returns whether this position is later than another one.
      *
-     * @param other the other one
-     * @return false if both are the same
+     * @param other the other position
+     * @return false if both are equal
      */
     public boolean isAfter(StorePosition other) {
         return compareTo(other) > 0;
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/package-info.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/published/package-info.java
@@ -1,2 +1,2 @@
-/** What the platform publishes: items with revisions, from the store itself or relayed by peers. */
+/** Items that the platform publishes, with their revisions, as read from the store or relayed by peers. */
 package org.dotterelcourse.gateway.published;
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/PeerLoads.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/PeerLoads.java
@@ -4,27 +4,26 @@
 import java.util.Map;
 
 /**
- * What peers last said of the workers: a peer for itself, a collector for the sum of those that report to it, or a
- * collector for all others. What a peer said is forgotten when it has been silent for some periods: a process that was
- * killed would otherwise seem to keep its workers busy for ever.
+ * The latest load report of each peer. Reports expire, because a killed process would otherwise appear to keep its
+ * workers busy forever.
  */
 public final class PeerLoads {
-    /** Well above the longest period between two messages of a peer. */
-    private static final long KEPT_NANOS = 1_800_000_000L;
+    /** Well above the longest interval between two reports of a peer. */
+    private static final long REPORT_TTL_NANOS = 1_800_000_000L;
 
-    private final Map<String, Told> byPeer = new HashMap<>();
+    private final Map<String, Report> byPeer = new HashMap<>();
 
     /**
-     * What is known of one worker.
+     * Load and recent outcomes of one worker, as seen by one or more processes.
      *
-     * @param inFlight requests that have no whole answer yet
-     * @param interactive those whose pauses must be short
-     * @param prefillMillis estimated work of prompts without a first event
-     * @param succeeded requests that lately ended well, fading
-     * @param failed requests that lately failed, fading
+     * @param inFlight number of requests without a complete response
+     * @param interactive number of those requests whose streams need short gaps between events
+     * @param prefillMillis estimated time in milliseconds to process the prompts that have no first event yet
+     * @param succeeded number of recent successes, exponentially decayed
+     * @param failed number of recent failures, exponentially decayed
      */
     public record Load(int inFlight, int interactive, double prefillMillis, double succeeded, double failed) {
-        /** Nothing in flight, and nothing lately. */
+        /** No requests in flight and no recent outcomes. */
         public static final Load NONE = new Load(0, 0, 0, 0, 0);
 
         Load plus(Load other) {
@@ -37,71 +36,71 @@
         }
     }
 
-    /** For whom a peer speaks. */
+    /** The processes whose loads a report sums up. */
     public enum Scope {
-        /** For itself. */
+        /** The sender alone. */
         OWN,
-        /** For itself and those that report to it. */
+        /** The sender, a collector, and the processes that report to it. */
         GATHERED,
-        /** For all but this process. */
+        /** All processes except the receiver. */
         OTHERS
     }
 
-    private record Told(Scope scope, Map<Integer, Load> loads, long atNanos) {}
+    private record Report(Scope scope, Map<Integer, Load> loads, long atNanos) {}
 
     /**
-     * A peer has said what it knows.
+     * Records a report, which replaces the previous one of the same peer.
      *
-     * @param peer its name
-     * @param scope for whom it speaks
-     * @param loads by the incarnation of the worker; workers that are missing have nothing
-     * @param nowNanos the time
+     * @param peer name of the sender
+     * @param scope the processes whose loads the report sums up
+     * @param loads loads by incarnation of the worker; workers without load may be missing
+     * @param nowNanos current monotonic time in nanoseconds
      */
-    public void told(String peer, Scope scope, Map<Integer, Load> loads, long nowNanos) {
+    public void recordReport(String peer, Scope scope, Map<Integer, Load> loads, long nowNanos) {
         if (scope == Scope.OTHERS) {
-            // Another collector has taken over; what the one before said is in its sum as well.
-            byPeer.values().removeIf(told -> told.scope() == Scope.OTHERS);
+            // The sums of a new collector and of its predecessor cover the same requests.
+            byPeer.values().removeIf(report -> report.scope() == Scope.OTHERS);
         }
-        byPeer.put(peer, new Told(scope, loads, nowNanos));
+        byPeer.put(peer, new Report(scope, loads, nowNanos));
     }
 
     /**
-     * Adds up what all peers said.
+     * Sums the unexpired reports of all peers.
      *
-     * @param nowNanos the time
-     * @return by the incarnation of the worker
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the sums, by incarnation of the worker
      */
-    public Map<Integer, Load> sums(long nowNanos) {
+    public Map<Integer, Load> total(long nowNanos) {
         return sum(nowNanos, "", false);
     }
 
     /**
-     * Adds up what those said that report to this process.
+     * Sums the unexpired reports that peers sent for themselves alone.
      *
-     * @param nowNanos the time
-     * @return by the incarnation of the worker
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the sums, by incarnation of the worker
      */
-    public Map<Integer, Load> reported(long nowNanos) {
+    public Map<Integer, Load> totalOfReporters(long nowNanos) {
         return sum(nowNanos, "", true);
     }
 
     /**
-     * Adds up what all peers said but one.
+     * Sums the unexpired reports of all peers except one.
      *
-     * @param peer the one to leave out
-     * @param nowNanos the time
-     * @return by the incarnation of the worker
+     * @param peer name of the peer to leave out
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the sums, by incarnation of the worker
      */
-    public Map<Integer, Load> without(String peer, long nowNanos) {
+    public Map<Integer, Load> totalExcluding(String peer, long nowNanos) {
         return sum(nowNanos, peer, false);
     }
 
-    private Map<Integer, Load> sum(long nowNanos, String except, boolean ownOnly) {
-        byPeer.values().removeIf(told -> nowNanos - told.atNanos() > KEPT_NANOS);
+    private Map<Integer, Load> sum(long nowNanos, String excludedPeer, boolean ownOnly) {
+        byPeer.values().removeIf(report -> nowNanos - report.atNanos() > REPORT_TTL_NANOS);
         Map<Integer, Load> sums = new HashMap<>();
-        byPeer.forEach((peer, told) -> {
-            if (!peer.equals(except) && (!ownOnly || told.scope() == Scope.OWN)) {
-                told.loads().forEach((key, load) -> sums.merge(key, load, Load::plus));
+        byPeer.forEach((peer, report) -> {
+            if (!peer.equals(excludedPeer) && (!ownOnly || report.scope() == Scope.OWN)) {
+                report.loads().forEach((worker, load) -> sums.merge(worker, load, Load::plus));
             }
         });
         return sums;
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Placement.java
@@ -1,11 +1,14 @@
 package org.dotterelcourse.gateway.workers;
 
-/** One request at one worker, counted there until it ends. Each of the calls counts once however often it comes. */
+/**
+ * One request at one worker, counted in the worker's load until it ends. Repeated calls of {@link #markSuspect}, {@link
+ * #recordFirstEvent} and {@link #end} have no further effect.
+ */
 public final class Placement {
     private final WorkerState worker;
     private final boolean interactive;
     private final double prefillMillis;
-    private boolean started;
+    private boolean firstEventReceived;
     private boolean ended;
     private boolean suspect;
 
@@ -13,95 +16,95 @@
         this.worker = worker;
         this.interactive = interactive;
         this.prefillMillis = prefillMillis;
-        worker.begin(interactive, prefillMillis, nowNanos);
+        worker.beginRequest(interactive, prefillMillis, nowNanos);
     }
 
     /**
-     * The worker.
+     * Returns the worker.
      *
-     * @return what is published of it
+     * @return its latest published entry
      */
     public WorkerEntry entry() {
         return worker.entry();
     }
 
-    /** A worker crashed under this request before. */
+    /** Marks the request as one under which a worker has crashed before. */
     public void markSuspect() {
         if (!suspect) {
             suspect = true;
-            worker.suspectBegan();
+            worker.beginSuspectRequest();
         }
     }
 
-    /** The prompt has been read: the first event is here. */
+    /** Records the first event of the response, after which the prompt no longer counts as pending work. */
     public void recordFirstEvent() {
-        if (!started) {
-            started = true;
-            worker.prefilled(prefillMillis);
+        if (!firstEventReceived) {
+            firstEventReceived = true;
+            worker.subtractPrefill(prefillMillis);
         }
     }
 
-    /** The request is no longer there. */
+    /** Removes the request from the worker's load. */
     public void end() {
         if (!ended) {
             recordFirstEvent();
             ended = true;
-            worker.end(interactive);
+            worker.endRequest(interactive);
             if (suspect) {
-                worker.suspectEnded();
+                worker.endSuspectRequest();
             }
         }
     }
 
     /**
-     * The worker has answered.
+     * Records that the worker has responded successfully.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordSuccess(long nowNanos) {
-        worker.trust().recordSuccess(nowNanos);
+        worker.localSuspicion().recordSuccess(nowNanos);
         worker.outcomes().recordSuccess(nowNanos);
     }
 
     /**
-     * The worker could not be reached.
+     * Records that no connection to the worker could be made.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordConnectFailure(long nowNanos) {
-        worker.coldPeriod().assumeRestarted(nowNanos);
-        worker.trust().recordConnectFailure(nowNanos);
+        worker.coldStart().assumeRestarted(nowNanos);
+        worker.localSuspicion().recordConnectFailure(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
     }
 
     /**
-     * The worker has answered with a failure of its own.
+     * Records that the worker has responded with an error of its own.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordErrorResponse(long nowNanos) {
-        worker.trust().recordErrorResponse(nowNanos);
+        worker.localSuspicion().recordErrorResponse(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
     }
 
     /**
-     * The worker has refused the request. A full one is not a bad one, so that this process alone leaves it out for a
-     * moment.
+     * Records that the worker has rejected the request. A full worker is not a faulty one, so only this process avoids
+     * it for a while; peers do not learn of the rejection.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordRejection(long nowNanos) {
-        worker.trust().recordFailure(nowNanos);
+        worker.localSuspicion().recordFailure(nowNanos);
     }
 
     /**
-     * The request has broken at the worker.
+     * Records that the worker has accepted the request, but broke off before the end of the response.
      *
-     * @param nowNanos the time
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordFailure(long nowNanos) {
-        worker.coldPeriod().assumeRestarted(nowNanos);
-        worker.trust().recordFailure(nowNanos);
+        worker.coldStart().assumeRestarted(nowNanos);
+        worker.localSuspicion().recordFailure(nowNanos);
         worker.outcomes().recordFailure(nowNanos);
     }
 }
--- /dev/null
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/RateShareHolders.java
@@ -0,0 +1,69 @@
+package org.dotterelcourse.gateway.workers;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+import org.dotterelcourse.coordination.ownership.Rendezvous;
+
+/**
+ * Decides whether this process is one of those that may use a rate-limited worker. The processes are ranked by
+ * rendezvous hashing of the worker's id over the members of the fleet, so that all agree without communication.
+ */
+final class RateShareHolders {
+    /**
+     * Growth factor of the fleet above which this process is considered to be still discovering its members. After a
+     * failure of the whole fleet, each process starts with itself as the only known member, and without this check
+     * would use every rate-limited worker.
+     */
+    private static final double DISCOVERY_GROWTH_FACTOR = 1.25;
+
+    /**
+     * How long a process that is still discovering members uses no rate-limited worker. It finds most members within a
+     * second.
+     */
+    private static final long DISCOVERY_NANOS = 2_000_000_000L;
+
+    private final Map<String, Integer> ranks = new HashMap<>();
+    private List<String> others = List.of();
+    private String self = "";
+    private int stableSize;
+    private long discoveryEndNanos;
+    private boolean fleetKnown;
+
+    /**
+     * Updates the members of the fleet.
+     *
+     * @param ownName name of this process
+     * @param otherNames names of the other processes that are not dead according to membership
+     * @param nowNanos current monotonic time in nanoseconds
+     */
+    void updateFleet(String ownName, List<String> otherNames, long nowNanos) {
+        self = ownName;
+        others = List.copyOf(otherNames);
+        ranks.clear();
+        if (!fleetKnown || processes() > DISCOVERY_GROWTH_FACTOR * stableSize) {
+            fleetKnown = true;
+            discoveryEndNanos = nowNanos + DISCOVERY_NANOS;
+            stableSize = processes();
+        }
+        stableSize = Math.min(stableSize, processes());
+    }
+
+    /** Returns the number of processes in the fleet, this one included. */
+    int processes() {
+        return others.size() + 1;
+    }
+
+    /** Returns whether this process is among the first {@code holders} processes in the ranking for a worker. */
+    boolean includesSelf(String worker, int holders, long nowNanos) {
+        return fleetKnown && nowNanos - discoveryEndNanos >= 0 && ranks.computeIfAbsent(worker, this::rank) < holders;
+    }
+
+    private int rank(String worker) {
+        long own = Rendezvous.weight(worker, self);
+        return (int) others.stream()
+                .filter(other -> Long.compareUnsigned(Rendezvous.weight(worker, other), own) > 0)
+                .count();
+    }
+}
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerEntry.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerEntry.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * A worker as it is published.
+ * A worker as published in the platform's store.
  *
- * @param id its name; another start may bear the same one
- * @param startMillis when it started, in milliseconds since 1970 by its own clock; 0 if it doesn't say
- * @param upstream the upstream that it serves
- * @param host its IP number
+ * @param id its name; a worker that restarts may keep it
+ * @param startMillis when it started, in milliseconds since the epoch by its own clock; 0 if it does not publish this
+ * @param upstream name of the upstream that it serves
+ * @param host its IP address
  * @param port its TCP port
- * @param dataCentre where it stands
- * @param slots how many requests it runs at once
- * @param leaving whether it takes no new work
- * @param coldMillis how much longer it stays cold, by its own word; 0 if it is not
+ * @param dataCentre name of the data centre that it runs in
+ * @param slots number of requests that it can run concurrently
+ * @param leaving whether it is shutting down and takes no new requests
+ * @param coldMillis how much longer it remains cold, in milliseconds, as published by the worker; 0 if it is warm
  */
 public record WorkerEntry(
         String id,
@@ -26,9 +26,9 @@
         boolean leaving,
         long coldMillis) {
     /**
-     * The same worker as one that takes no new work.
+     * Returns this entry with {@link #leaving} set.
      *
-     * @return this entry if it says so already
+     * @return this entry if the worker is leaving already, else a copy
      */
     public WorkerEntry toLeaving() {
         return leaving
@@ -37,19 +37,19 @@
     }
 
     /**
-     * Where it listens.
+     * Returns the address on which the worker listens.
      *
-     * @return IP number and port
+     * @return IP address and port, separated by a colon
      */
     public String address() {
         return host + ":" + port;
     }
 
     /**
-     * A short name of this start of the worker, for messages between processes. That two of some thousand share one is
-     * unlikely and harmless.
+     * Returns a hash that identifies this start of the worker in messages between processes. With a few thousand
+     * workers, a collision is unlikely, and it does no harm.
      *
-     * @return the same for the same name and start
+     * @return a hash of the worker's id and start time
      */
     public int incarnation() {
         return startMillis == 0 ? id.hashCode() : Objects.hash(id, startMillis);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/WorkerState.java
@@ -12,71 +12,78 @@
 import org.dotterelcourse.policy.selection.SendPermission;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
-/** One worker with what this process and its peers have there. Used on the gateway's loop only. */
+/**
+ * The load, health and rate limits of one worker, as seen by this process and its peers. Not thread-safe; used on the
+ * gateway's event loop only.
+ */
 public final class WorkerState {
-    private final LocalSuspicion trust = new LocalSuspicion();
+    private final LocalSuspicion localSuspicion = new LocalSuspicion();
     private final RecentOutcomes outcomes = new RecentOutcomes();
     private final SharedSuspicion sharedSuspicion = new SharedSuspicion();
-    private final ColdStartTracker coldPeriod = new ColdStartTracker();
-    private final SlidingWindowLog sent = new SlidingWindowLog();
+    private final ColdStartTracker coldStart = new ColdStartTracker();
+    private final SlidingWindowLog requestLog = new SlidingWindowLog();
     private final int incarnation;
-    private final long order;
+    private final long sequence;
     private WorkerEntry entry;
     private int inFlight;
     private int interactive;
-    private int suspects;
+    private int suspectRequests;
     private double prefillMillis;
-    private PeerLoads.Load others = PeerLoads.Load.NONE;
+    private PeerLoads.Load peerLoad = PeerLoads.Load.NONE;
 
     /**
-     * Makes a state of which nothing is known yet.
+     * Creates the state of a worker without requests.
      *
-     * @param order rises with each worker that becomes known
+     * @param entry its published entry
+     * @param sequence sequence number, which increases with each worker that this process discovers
      */
-    WorkerState(WorkerEntry entry, long order) {
+    WorkerState(WorkerEntry entry, long sequence) {
         this.entry = entry;
         this.incarnation = entry.incarnation();
-        this.order = order;
+        this.sequence = sequence;
     }
 
     int incarnation() {
         return incarnation;
     }
 
-    /** Whether it started after another one: by what both say of it, else by when they became known. */
+    /**
+     * Returns whether this worker started later than another one: by their published start times if both have one and
+     * they differ, else by the order in which this process discovered them.
+     */
     boolean startedAfter(WorkerState other) {
         long start = entry.startMillis();
         long otherStart = other.entry.startMillis();
-        boolean told = start != 0 && otherStart != 0 && start != otherStart;
-        return told ? start > otherStart : order > other.order;
+        boolean comparable = start != 0 && otherStart != 0 && start != otherStart;
+        return comparable ? start > otherStart : sequence > other.sequence;
     }
 
     /**
-     * What is published of it.
+     * Returns the published entry of the worker.
      *
-     * @return the newest entry
+     * @return the latest entry
      */
     public WorkerEntry entry() {
         return entry;
     }
 
-    void entry(WorkerEntry changed) {
-        entry = changed;
+    void updateEntry(WorkerEntry updated) {
+        entry = updated;
     }
 
-    void others(PeerLoads.Load load) {
-        others = load;
+    void updatePeerLoad(PeerLoads.Load load) {
+        peerLoad = load;
     }
 
-    LocalSuspicion trust() {
-        return trust;
+    LocalSuspicion localSuspicion() {
+        return localSuspicion;
     }
 
     RecentOutcomes outcomes() {
         return outcomes;
     }
 
-    PeerLoads.Load own(long nowNanos) {
+    PeerLoads.Load localLoad(long nowNanos) {
         return new PeerLoads.Load(
                 inFlight,
                 interactive,
@@ -85,45 +92,46 @@
                 outcomes.recentFailures(nowNanos));
     }
 
-    ColdStartTracker coldPeriod() {
-        return coldPeriod;
+    ColdStartTracker coldStart() {
+        return coldStart;
     }
 
-    /** Whether this process may send it a request now. */
-    SendPermission intake(ColdStart coldStart, OptionalDouble limit, ShareHolders holders, long nowNanos) {
-        boolean cold = coldPeriod.isCold(coldStart, nowNanos);
+    /** Returns whether this process may send the worker a request now. */
+    SendPermission sendPermission(
+            ColdStart coldStartPolicy, OptionalDouble limit, RateShareHolders holders, long nowNanos) {
+        boolean cold = coldStart.isCold(coldStartPolicy, nowNanos);
         if (!cold && limit.isEmpty()) {
             return SendPermission.UNLIMITED;
         }
         int processes = holders.processes();
-        boolean open = (!cold || open(RateShare.ofPeak(coldStart.perSecond(), processes), holders, nowNanos))
-                && (limit.isEmpty() || open(RateShare.ofMean(limit.getAsDouble(), processes), holders, nowNanos));
-        return open ? SendPermission.RATE_LIMITED : SendPermission.DENIED;
+        boolean allowed = (!cold || allows(RateShare.ofPeak(coldStartPolicy.perSecond(), processes), holders, nowNanos))
+                && (limit.isEmpty() || allows(RateShare.ofMean(limit.getAsDouble(), processes), holders, nowNanos));
+        return allowed ? SendPermission.RATE_LIMITED : SendPermission.DENIED;
     }
 
-    private boolean open(RateShare share, ShareHolders holders, long nowNanos) {
-        return holders.holds(entry.id(), share.holders(), nowNanos) && sent.allows(share, nowNanos);
+    private boolean allows(RateShare share, RateShareHolders holders, long nowNanos) {
+        return holders.includesSelf(entry.id(), share.holders(), nowNanos) && requestLog.allows(share, nowNanos);
     }
 
-    /** Whether all processes together have seen it fail too often. */
-    boolean suspectedByAll(long nowNanos) {
+    /** Returns whether the worker failed too often, judged by the outcomes at all processes together. */
+    boolean updateSharedSuspicion(long nowNanos) {
         return sharedSuspicion.update(
-                outcomes.recentSuccesses(nowNanos) + others.succeeded(),
-                outcomes.recentFailures(nowNanos) + others.failed());
+                outcomes.recentSuccesses(nowNanos) + peerLoad.succeeded(),
+                outcomes.recentFailures(nowNanos) + peerLoad.failed());
     }
 
-    void begin(boolean isInteractive, double prefill, long nowNanos) {
-        sent.recordRequest(nowNanos);
+    void beginRequest(boolean isInteractive, double prefill, long nowNanos) {
+        requestLog.recordRequest(nowNanos);
         inFlight++;
         interactive += isInteractive ? 1 : 0;
         prefillMillis += prefill;
     }
 
-    void prefilled(double prefill) {
+    void subtractPrefill(double prefill) {
         prefillMillis = Math.max(0, prefillMillis - prefill);
     }
 
-    void end(boolean isInteractive) {
+    void endRequest(boolean isInteractive) {
         inFlight--;
         interactive -= isInteractive ? 1 : 0;
         if (inFlight == 0) {
@@ -131,29 +139,29 @@
         }
     }
 
-    void suspectBegan() {
-        suspects++;
+    void beginSuspectRequest() {
+        suspectRequests++;
     }
 
-    void suspectEnded() {
-        suspects--;
+    void endSuspectRequest() {
+        suspectRequests--;
     }
 
-    boolean hasSuspects() {
-        return suspects > 0;
+    boolean hasSuspectRequests() {
+        return suspectRequests > 0;
     }
 
-    WorkerLoad load(long nowNanos, boolean suspectedByAll, SendPermission intake) {
+    WorkerLoad load(long nowNanos, boolean suspectedByFleet, SendPermission permission) {
         return new WorkerLoad(
                 entry.id(),
                 incarnation,
                 entry.address(),
                 entry.dataCentre(),
                 entry.slots(),
-                inFlight + others.inFlight(),
-                interactive + others.interactive(),
-                prefillMillis + others.prefillMillis(),
-                suspectedByAll || trust.isSuspected(nowNanos),
-                intake);
+                inFlight + peerLoad.inFlight(),
+                interactive + peerLoad.interactive(),
+                prefillMillis + peerLoad.prefillMillis(),
+                suspectedByFleet || localSuspicion.isSuspected(nowNanos),
+                permission);
     }
 }
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/Workers.java
@@ -15,126 +15,128 @@
 import org.dotterelcourse.policy.selection.SendPermission;
 import org.dotterelcourse.policy.selection.WorkerLoad;
 
-/** All known workers. Used on the gateway's loop only. */
+/**
+ * Registry of the published workers. Derives the candidates for a request from published entries, load reports of
+ * peers, rate limits and evacuations. Not thread-safe; used on the gateway's event loop only.
+ */
 public final class Workers {
     /**
-     * Part of an upstream's workers that may be left out because of what all processes saw. If more fail, it is not they
-     * that are bad, and the rest could not carry the load.
+     * Largest fraction of an upstream's workers that is suspected because of the outcomes at all processes. If more
+     * fail, the workers are probably not the cause, and the remaining ones could not carry the load.
      */
-    private static final double MOST_SUSPECTED = 0.34;
+    private static final double MAX_SUSPECTED_FRACTION = 0.34;
 
-    /** Fewer outcomes than this, faded, are not told: they no longer decide anything. */
-    private static final double LEAST_OUTCOMES = 0.3;
+    /** Decayed number of outcomes up to which they are not reported, since they no longer influence any decision. */
+    private static final double MIN_REPORTED_OUTCOMES = 0.3;
 
-    /** How long sums stand while no peer says anything, so that what silent ones said runs out. */
-    private static final long REFRESH_NANOS = 500_000_000L;
+    /** Interval at which the sums are recomputed without new reports, so that reports of silent peers expire. */
+    private static final long REFRESH_INTERVAL_NANOS = 500_000_000L;
 
     private final Map<String, WorkerState> byId = new HashMap<>();
     private final Map<Integer, WorkerState> byIncarnation = new HashMap<>();
     private final PeerLoads peerLoads = new PeerLoads();
-    private boolean changed;
+    private boolean sumsOutdated;
     private long refreshedNanos;
 
-    /** By address, the worker that was the last to start there. Made anew when the workers have changed. */
-    private final Map<String, WorkerState> holders = new HashMap<>();
+    /** By address, the worker that started there last. Recomputed on demand after the workers have changed. */
+    private final Map<String, WorkerState> latestByAddress = new HashMap<>();
 
     private final Set<String> evacuated = new HashSet<>();
-    private boolean holdersKnown;
-    private Predicate<String> upstreamKnown = upstream -> true;
-    private Function<String, ColdStart> coldStarts = upstream -> ColdStart.none();
-    private final ShareHolders shareHolders = new ShareHolders();
+    private boolean latestByAddressValid;
+    private Predicate<String> upstreamExists = upstream -> true;
+    private Function<String, ColdStart> coldStartByUpstream = upstream -> ColdStart.none();
+    private final RateShareHolders rateShareHolders = new RateShareHolders();
     private final WorkerLimits limits = new WorkerLimits();
-    private long nextOrder;
+    private long nextSequence;
 
     /**
-     * A worker is published, or what is published of it has changed. Where it has started again under its name, nothing
-     * that was known of it holds any more: what it had in flight, what it had read and how often it failed was another
-     * process's. What is published late of an earlier start changes nothing. A worker that leaves does so until it ends,
-     * whatever an older copy of its entry says.
+     * Adds a worker or updates its entry. If the worker has restarted under its name, its previous state is discarded,
+     * because requests in flight, cached prompts and failures belong to the earlier start. An entry of an earlier start
+     * is ignored. A worker that is leaving remains so until it stops, even if a late entry does not say so.
      *
-     * @param entry the worker
-     * @param nowNanos the time
+     * @param entry the published entry
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void addOrUpdate(WorkerEntry entry, long nowNanos) {
-        WorkerState known = byId.get(entry.id());
-        if (known != null && entry.startMillis() < known.entry().startMillis()) {
+        WorkerState existing = byId.get(entry.id());
+        if (existing != null && entry.startMillis() < existing.entry().startMillis()) {
             return;
         }
-        holdersKnown = false;
-        WorkerState current = known;
-        if (known != null && entry.incarnation() == known.incarnation()) {
-            known.entry(known.entry().leaving() ? entry.toLeaving() : entry);
+        latestByAddressValid = false;
+        WorkerState current = existing;
+        if (existing != null && entry.incarnation() == existing.incarnation()) {
+            existing.updateEntry(existing.entry().leaving() ? entry.toLeaving() : entry);
         } else {
-            current = new WorkerState(entry, nextOrder++);
-            ended(byId.put(entry.id(), current));
+            current = new WorkerState(entry, nextSequence++);
+            removeIncarnation(byId.put(entry.id(), current));
             byIncarnation.put(current.incarnation(), current);
-            changed = true;
+            sumsOutdated = true;
         }
-        current.coldPeriod().recordReport(entry.coldMillis(), nowNanos);
+        current.coldStart().recordReport(entry.coldMillis(), nowNanos);
     }
 
     /**
-     * Tells which upstreams exist.
+     * Sets the configured upstreams.
      *
-     * @param known whether an upstream of a name does
-     * @param bear what the workers of an upstream bear while they are cold, by its name
+     * @param exists returns whether an upstream of the given name is configured
+     * @param coldStart returns the limits of cold workers for the upstream of the given name
      */
-    public void upstreams(Predicate<String> known, Function<String, ColdStart> bear) {
-        upstreamKnown = known;
-        coldStarts = bear;
-        holdersKnown = false;
+    public void configureUpstreams(Predicate<String> exists, Function<String, ColdStart> coldStart) {
+        upstreamExists = exists;
+        coldStartByUpstream = coldStart;
+        latestByAddressValid = false;
     }
 
     /**
-     * A data centre is evacuated: its workers get nothing more, whichever upstream they serve. What is in flight there
-     * ends by itself.
+     * Evacuates a data centre: its workers get no new requests, whichever upstream they serve. Requests in flight there
+     * continue to their end.
      *
-     * @param dataCentre its name
-     * @return whether it was not before
+     * @param dataCentre name of the data centre
+     * @return true if it was not evacuated before
      */
-    public boolean evacuated(String dataCentre) {
+    public boolean evacuate(String dataCentre) {
         return evacuated.add(dataCentre);
     }
 
     /**
-     * An evacuated data centre is taken back. Its workers are taken for cold.
+     * Ends the evacuation of a data centre. Its workers are assumed to be cold, as after a restart.
      *
-     * @param dataCentre its name
-     * @param nowNanos the time
-     * @return whether it was evacuated
+     * @param dataCentre name of the data centre
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return true if it was evacuated before
      */
-    public boolean takenBack(String dataCentre, long nowNanos) {
+    public boolean endEvacuation(String dataCentre, long nowNanos) {
         byId.values().stream()
-                .filter(each -> each.entry().dataCentre().equals(dataCentre))
-                .forEach(each -> each.coldPeriod().assumeRestarted(nowNanos));
+                .filter(worker -> worker.entry().dataCentre().equals(dataCentre))
+                .forEach(worker -> worker.coldStart().assumeRestarted(nowNanos));
         return evacuated.remove(dataCentre);
     }
 
     /**
-     * The members of the fleet are known; they share what cold workers bear.
+     * Updates the members of the fleet, among which the request rates of cold and rate-limited workers are divided.
      *
-     * @param self this process's name
-     * @param others the others' that are not known to be dead
-     * @param nowNanos the time
+     * @param self name of this process
+     * @param others names of the other processes that are not dead according to membership
+     * @param nowNanos current monotonic time in nanoseconds
      */
-    public void fleet(String self, List<String> others, long nowNanos) {
-        shareHolders.fleet(self, others, nowNanos);
+    public void updateFleet(String self, List<String> others, long nowNanos) {
+        rateShareHolders.updateFleet(self, others, nowNanos);
     }
 
     /**
-     * A worker is no longer published. What is in flight there goes on.
+     * Removes a worker that is no longer published. Its requests in flight continue.
      *
-     * @param id its name
-     * @return what was known of it
+     * @param id name of the worker
+     * @return its last entry; empty if it was not published
      */
     public Optional<WorkerEntry> remove(String id) {
-        holdersKnown = false;
-        WorkerState gone = byId.remove(id);
-        ended(gone);
-        return Optional.ofNullable(gone).map(WorkerState::entry);
+        latestByAddressValid = false;
+        WorkerState removed = byId.remove(id);
+        removeIncarnation(removed);
+        return Optional.ofNullable(removed).map(WorkerState::entry);
     }
 
-    private void ended(WorkerState worker) {
+    private void removeIncarnation(WorkerState worker) {
         if (worker != null) {
             byIncarnation.remove(worker.incarnation());
             limits.remove(worker.incarnation());
@@ -142,27 +144,29 @@
     }
 
     /**
-     * Whether another worker has the address now. One that crashed stays published until its entry runs out, while the one
-     * that took its address is there already: every request meant for the old one would be refused by the new one. An
-     * entry that names an upstream which nobody has configured says nothing about an address: anybody may have written it.
+     * Returns whether a later worker uses the address of the given one. A crashed worker stays published until its
+     * entry expires, and the worker that has replaced it at its address would reject every request meant for it.
+     * Entries of upstreams that are not configured are ignored, because another program may have written them.
      */
-    private boolean displaced(WorkerState worker) {
-        if (!holdersKnown) {
-            holdersKnown = true;
-            holders.clear();
+    private boolean isReplaced(WorkerState worker) {
+        if (!latestByAddressValid) {
+            latestByAddressValid = true;
+            latestByAddress.clear();
             byId.values().stream()
-                    .filter(each -> upstreamKnown.test(each.entry().upstream()))
-                    .forEach(each -> holders.merge(
-                            each.entry().address(), each, (one, other) -> one.startedAfter(other) ? one : other));
+                    .filter(other -> upstreamExists.test(other.entry().upstream()))
+                    .forEach(other -> latestByAddress.merge(
+                            other.entry().address(),
+                            other,
+                            (first, second) -> first.startedAfter(second) ? first : second));
         }
-        WorkerState holder = holders.get(worker.entry().address());
-        return holder != null && holder != worker;
+        WorkerState latest = latestByAddress.get(worker.entry().address());
+        return latest != null && latest != worker;
     }
 
     /**
-     * Finds a worker.
+     * Finds a worker by its name.
      *
-     * @param id its name
+     * @param id name of the worker
      * @return its state; empty if it is not published
      */
     public Optional<WorkerState> find(String id) {
@@ -170,149 +174,154 @@
     }
 
     /**
-     * The workers that a request may be sent to.
+     * Returns the workers that a request may be sent to. Workers are left out if they are leaving, have been replaced
+     * at their address, or run in an evacuated data centre.
      *
-     * @param upstream the upstream
-     * @param except workers that had it already
-     * @param nowNanos the time
-     * @return their loads, without those that are leaving and those of evacuated data centres
+     * @param upstream name of the upstream
+     * @param excluded names of workers to leave out, such as those that had the request already
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the loads of the workers, including those of peers
      */
-    public List<WorkerLoad> candidates(String upstream, Set<String> except, long nowNanos) {
-        refresh(nowNanos);
+    public List<WorkerLoad> candidates(String upstream, Set<String> excluded, long nowNanos) {
+        refreshPeerLoads(nowNanos);
         List<WorkerState> serving = new ArrayList<>();
         Set<WorkerState> suspects = new HashSet<>();
         for (WorkerState worker : byId.values()) {
-            if (worker.entry().upstream().equals(upstream) && mayServe(worker)) {
+            if (worker.entry().upstream().equals(upstream) && isEligible(worker)) {
                 serving.add(worker);
-                if (worker.suspectedByAll(nowNanos)) {
+                if (worker.updateSharedSuspicion(nowNanos)) {
                     suspects.add(worker);
                 }
             }
         }
-        ColdStart coldStart = coldStarts.apply(upstream);
-        boolean few = suspects.size() <= MOST_SUSPECTED * serving.size();
+        ColdStart coldStart = coldStartByUpstream.apply(upstream);
+        boolean fewSuspects = suspects.size() <= MAX_SUSPECTED_FRACTION * serving.size();
         return serving.stream()
-                .filter(worker -> !except.contains(worker.entry().id()))
-                .map(worker ->
-                        worker.load(nowNanos, few && suspects.contains(worker), intake(worker, coldStart, nowNanos)))
+                .filter(worker -> !excluded.contains(worker.entry().id()))
+                .map(worker -> worker.load(
+                        nowNanos,
+                        fewSuspects && suspects.contains(worker),
+                        sendPermission(worker, coldStart, nowNanos)))
                 .toList();
     }
 
-    private SendPermission intake(WorkerState worker, ColdStart coldStart, long nowNanos) {
-        return worker.intake(coldStart, limits.limit(worker.incarnation()), shareHolders, nowNanos);
+    private SendPermission sendPermission(WorkerState worker, ColdStart coldStart, long nowNanos) {
+        return worker.sendPermission(coldStart, limits.limit(worker.incarnation()), rateShareHolders, nowNanos);
     }
 
     /**
-     * How many requests a second workers said that they take.
+     * Returns the request rate limits that workers have set.
      *
-     * @return the limits of all upstreams
+     * @return the limits of the workers of all upstreams
      */
     public WorkerLimits limits() {
         return limits;
     }
 
     /**
-     * Finds a worker by what processes call it.
+     * Finds a worker by its incarnation.
      *
-     * @param incarnation the name of this start of it
-     * @return its state; empty if it is not published
+     * @param incarnation the value of {@link WorkerEntry#incarnation}
+     * @return its state; empty if no such start of a worker is published
      */
-    public Optional<WorkerState> started(int incarnation) {
+    public Optional<WorkerState> findByIncarnation(int incarnation) {
         return Optional.ofNullable(byIncarnation.get(incarnation));
     }
 
     /**
-     * Workers that have requests of this process under which a worker crashed before.
+     * Returns the workers with requests in flight from this process under which a worker has crashed before.
      *
-     * @return their names
+     * @return names of the workers
      */
     public List<String> withSuspectRequests() {
         return byId.values().stream()
-                .filter(WorkerState::hasSuspects)
+                .filter(WorkerState::hasSuspectRequests)
                 .map(worker -> worker.entry().id())
                 .toList();
     }
 
-    private boolean mayServe(WorkerState worker) {
+    private boolean isEligible(WorkerState worker) {
         WorkerEntry entry = worker.entry();
-        return !entry.leaving() && !evacuated.contains(entry.dataCentre()) && !displaced(worker);
+        return !entry.leaving() && !evacuated.contains(entry.dataCentre()) && !isReplaced(worker);
     }
 
     /**
-     * A peer has said what it knows of the workers.
+     * Records a load report of a peer, which replaces its previous one.
      *
-     * @param peer its name
-     * @param scope for whom it speaks
-     * @param loads by the incarnation of the worker
-     * @param nowNanos the time
+     * @param peer name of the peer
+     * @param scope the processes whose loads the report sums up
+     * @param loads loads by incarnation of the worker
+     * @param nowNanos current monotonic time in nanoseconds
      */
-    public void peerLoad(String peer, PeerLoads.Scope scope, Map<Integer, PeerLoads.Load> loads, long nowNanos) {
-        peerLoads.told(peer, scope, loads, nowNanos);
-        changed = true;
+    public void recordPeerLoads(String peer, PeerLoads.Scope scope, Map<Integer, PeerLoads.Load> loads, long nowNanos) {
+        peerLoads.recordReport(peer, scope, loads, nowNanos);
+        sumsOutdated = true;
     }
 
-    /** Peers' reports come more often than requests do; they are added up when a request needs the sums. */
-    private void refresh(long nowNanos) {
-        if (!changed && nowNanos - refreshedNanos < REFRESH_NANOS) {
+    /** Sums the reports of peers. Done per request, since reports arrive more often than requests. */
+    private void refreshPeerLoads(long nowNanos) {
+        if (!sumsOutdated && nowNanos - refreshedNanos < REFRESH_INTERVAL_NANOS) {
             return;
         }
-        changed = false;
+        sumsOutdated = false;
         refreshedNanos = nowNanos;
-        Map<Integer, PeerLoads.Load> sums = peerLoads.sums(nowNanos);
-        byId.values().forEach(worker -> worker.others(sums.getOrDefault(worker.incarnation(), PeerLoads.Load.NONE)));
+        Map<Integer, PeerLoads.Load> sums = peerLoads.total(nowNanos);
+        byId.values()
+                .forEach(worker -> worker.updatePeerLoad(sums.getOrDefault(worker.incarnation(), PeerLoads.Load.NONE)));
     }
 
     /**
-     * What this process has in flight and has lately seen, for its peers.
+     * Returns the loads caused by this process, for reports to peers.
      *
-     * @param nowNanos the time
-     * @return by the incarnation of the worker, only workers of which there is something to tell
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return loads by incarnation of the worker; without workers that have no requests in flight and hardly any recent
+     *     outcomes
      */
-    public Map<Integer, PeerLoads.Load> own(long nowNanos) {
-        Map<Integer, PeerLoads.Load> own = new HashMap<>();
+    public Map<Integer, PeerLoads.Load> localLoads(long nowNanos) {
+        Map<Integer, PeerLoads.Load> loads = new HashMap<>();
         byId.values().forEach(worker -> {
-            PeerLoads.Load load = worker.own(nowNanos);
-            if (load.inFlight() > 0 || load.succeeded() + load.failed() > LEAST_OUTCOMES) {
-                own.put(worker.incarnation(), load);
+            PeerLoads.Load load = worker.localLoad(nowNanos);
+            if (load.inFlight() > 0 || load.succeeded() + load.failed() > MIN_REPORTED_OUTCOMES) {
+                loads.put(worker.incarnation(), load);
             }
         });
-        return own;
+        return loads;
     }
 
     /**
-     * What this process and those that report to it know, for other collectors.
+     * Returns the loads caused by this process and those that report to it, for reports to other collectors.
      *
-     * @param nowNanos the time
-     * @return by the incarnation of the worker
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return loads by incarnation of the worker
      */
-    public Map<Integer, PeerLoads.Load> gathered(long nowNanos) {
-        return plusOwn(peerLoads.reported(nowNanos), nowNanos);
+    public Map<Integer, PeerLoads.Load> aggregatedLoads(long nowNanos) {
+        return plusLocalLoads(peerLoads.totalOfReporters(nowNanos), nowNanos);
     }
 
     /**
-     * What all processes but one know, for that one.
+     * Returns the loads caused by all processes except one, for the report to that process.
      *
-     * @param peer its name
-     * @param nowNanos the time
-     * @return by the incarnation of the worker
+     * @param peer name of the process
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return loads by incarnation of the worker
      */
-    public Map<Integer, PeerLoads.Load> othersOf(String peer, long nowNanos) {
-        return plusOwn(peerLoads.without(peer, nowNanos), nowNanos);
+    public Map<Integer, PeerLoads.Load> loadsExcluding(String peer, long nowNanos) {
+        return plusLocalLoads(peerLoads.totalExcluding(peer, nowNanos), nowNanos);
     }
 
-    private Map<Integer, PeerLoads.Load> plusOwn(Map<Integer, PeerLoads.Load> sums, long nowNanos) {
-        own(nowNanos).forEach((key, load) -> sums.merge(key, load, PeerLoads.Load::plus));
+    private Map<Integer, PeerLoads.Load> plusLocalLoads(Map<Integer, PeerLoads.Load> sums, long nowNanos) {
+        localLoads(nowNanos).forEach((worker, load) -> sums.merge(worker, load, PeerLoads.Load::plus));
         return sums;
     }
 
     /**
-     * A request is sent to a worker.
+     * Adds a request to the load of a worker.
      *
-     * @param worker the worker
-     * @param interactive whether the pauses of its answer must be short
-     * @param prefillMillis estimated work until its first event
-     * @param nowNanos the time
-     * @return to be told how it goes on
+     * @param worker the worker that the request is sent to
+     * @param interactive whether the stream needs short gaps between events
+     * @param prefillMillis estimated time in milliseconds to process the prompt, until the first event
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the placement, on which the caller records the progress and end of the request
      */
     public Placement place(WorkerState worker, boolean interactive, double prefillMillis, long nowNanos) {
         return new Placement(worker, interactive, prefillMillis, nowNanos);
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/package-info.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/package-info.java
@@ -1,2 +1,2 @@
-/** The workers that requests can be sent to, what is in flight at each, and what peers say of them. */
+/** Workers that requests can be sent to, with their load and recent failures as seen by this process and its peers. */
 package org.dotterelcourse.gateway.workers;
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/fleet/CrashNoticeCodecTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/fleet/CrashNoticeCodecTest.java
@@ -18,19 +18,19 @@
             new CrashNotice(new Fingerprint(6), Ending.FINISHED, 0, 0, 1));
 
     @Test
-    void noticesAreReadAsTheyWereWritten() {
+    void decodedNoticesEqualTheEncodedOnes() {
         assertThat(CrashNoticeCodec.decode(CrashNoticeCodec.encode(NOTICES))).isEqualTo(NOTICES);
     }
 
     @Test
-    void columnsOfDifferentLengthsAreRefused() {
-        FleetProtos.CrashNotices cut =
+    void columnsOfDifferentLengthsAreRejected() {
+        FleetProtos.CrashNotices incomplete =
                 CrashNoticeCodec.encode(NOTICES).toBuilder().clearWorker().build();
-        assertThatThrownBy(() -> CrashNoticeCodec.decode(cut)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> CrashNoticeCodec.decode(incomplete)).isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
-    void endingsOfANewerReleaseAreLeftOut() {
+    void noticesWithEndingsOfANewerReleaseAreSkipped() {
         FleetProtos.CrashNotices newer = CrashNoticeCodec.encode(NOTICES).toBuilder()
                 .setEndingValue(0, 99)
                 .build();
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/fleet/LimitNoticeCodecTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/fleet/LimitNoticeCodecTest.java
@@ -12,7 +12,7 @@
 
 class LimitNoticeCodecTest {
     @Test
-    void whatIsWrittenIsReadAgain() {
+    void decodedNoticesEqualTheEncodedOnes() {
         List<LimitNotice> notices = List.of(
                 new LimitNotice(7, OptionalDouble.of(1.3), 20),
                 new LimitNotice(-8, OptionalDouble.empty(), 4_000),
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void columnsOfDifferentLengthsAreRefused() {
+    void columnsOfDifferentLengthsAreRejected() {
         FleetProtos.WorkerLimits columns =
                 FleetProtos.WorkerLimits.newBuilder().addWorker(7).build();
         assertThatIllegalArgumentException().isThrownBy(() -> LimitNoticeCodec.decode(columns));
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/fleet/LoadCodecTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/fleet/LoadCodecTest.java
@@ -15,18 +15,19 @@
 
 class LoadCodecTest {
     @Property(tries = 100, seed = "7")
-    void whatIsEncodedIsReadAsItWas(@ForAll int key, @ForAll @IntRange(max = 5_000) int figure) {
+    void decodedLoadsEqualTheEncodedOnes(@ForAll int worker, @ForAll @IntRange(max = 5_000) int count) {
         Map<Integer, PeerLoads.Load> loads = new HashMap<>();
-        loads.put(key, new PeerLoads.Load(figure, figure / 2, figure * 3, figure / 10.0, figure / 5.0));
-        loads.put(~key, PeerLoads.Load.NONE);
+        loads.put(worker, new PeerLoads.Load(count, count / 2, count * 3, count / 10.0, count / 5.0));
+        loads.put(~worker, PeerLoads.Load.NONE);
         assertThat(LoadCodec.decode(LoadCodec.encode(loads))).isEqualTo(loads);
     }
 
-    // A peer of another release sends one column less. Taking the wrong figures for a worker would send it everything.
+    // A peer of another release sends one column less. If loads were assigned to the wrong workers, an apparently idle
+    // one would get all requests.
     @Test
-    void columnsOfDifferentLengthsAreRefused() {
-        FleetProtos.WorkerLoads odd =
+    void columnsOfDifferentLengthsAreRejected() {
+        FleetProtos.WorkerLoads incomplete =
                 FleetProtos.WorkerLoads.newBuilder().addWorker(1).addInFlight(2).build();
-        assertThatThrownBy(() -> LoadCodec.decode(odd)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> LoadCodec.decode(incomplete)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/PublishedItemsTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/PublishedItemsTest.java
@@ -15,29 +15,29 @@
 class PublishedItemsTest {
     private final PublishedItems items = new PublishedItems();
 
-    // A machine that the store turns away hears of a revocation from a peer, and later gets an old read of its own. The
-    // revoked key must not come back.
+    // A process whose calls the store rejects learns of a revocation from a peer, and later reads an outdated state
+    // itself. The revoked key must not become valid again.
     @Test
-    void anOldReadDoesNotBringBackWhatWasChanged() {
+    void anOutdatedReadDoesNotRevertChanges() {
         merge(items, List.of(item("op", 5)), 5);
         assertThat(merge(items, List.of(item("op", 4)), 4)).isEmpty();
-        assertThat(replace(List.of(item("op", 3)), 3)).isEmpty();
+        assertThat(mergeSnapshot(List.of(item("op", 3)), 3)).isEmpty();
         assertThat(items.position().revision()).isEqualTo(5);
         assertThat(items.live()).containsExactly(item("op", 5));
     }
 
     @Test
-    void whatAWholeStateLacksWasDeleted() {
+    void itemsMissingFromASnapshotAreDeleted() {
         merge(items, List.of(item("a", 1), item("b", 2)), 2);
-        List<PublishedItem> news = replace(List.of(item("b", 2)), 9);
-        assertThat(news).hasSize(1);
-        assertThat(news.get(0).key()).isEqualTo("a");
-        assertThat(news.get(0).deleted()).isTrue();
+        List<PublishedItem> changes = mergeSnapshot(List.of(item("b", 2)), 9);
+        assertThat(changes).hasSize(1);
+        assertThat(changes.get(0).key()).isEqualTo("a");
+        assertThat(changes.get(0).deleted()).isTrue();
         assertThat(items.live()).containsExactly(item("b", 2));
     }
 
     @Test
-    void aDeletedItemThatIsPublishedAnewIsThereAgain() {
+    void aDeletedItemExistsAgainOnceItIsPublishedAgain() {
         merge(items, List.of(item("a", 1)), 1);
         merge(items, List.of(new PublishedItem("a", new byte[0], 2, true)), 2);
         assertThat(items.live()).isEmpty();
@@ -45,12 +45,11 @@
         assertThat(items.live()).containsExactly(item("a", 3));
     }
 
-    // A peer passes a revocation on, but the message before that got lost. The key must be refused at once, and what
-    // was
-    // lost must still be asked for.
+    // A peer relays a revocation, but the previous message was lost. The revocation must take effect at once, and the
+    // lost changes must still be requested.
     @Test
-    void aChangeWithAGapBeforeItIsTakenAndTheGapStaysKnown() {
-        replace(List.of(item("op", 5), item("w", 4)), 5);
+    void aChangeAfterAGapIsAppliedWithoutAdvancingThePosition() {
+        mergeSnapshot(List.of(item("op", 5), item("w", 4)), 5);
         assertThat(merge(items, List.of(item("op", 9)), 8, 9)).containsExactly(item("op", 9));
         assertThat(items.position().revision()).isEqualTo(5);
         assertThat(merge(items, List.of(item("w", 7), item("op", 9)), 5, 9)).containsExactly(item("w", 7));
@@ -58,7 +57,7 @@
     }
 
     @Property(tries = 300, seed = "7")
-    void noItemEverGoesBack(@ForAll @Size(max = 60) List<@IntRange(min = 1, max = 400) Integer> changes) {
+    void noItemReturnsToAnOlderRevision(@ForAll @Size(max = 60) List<@IntRange(min = 1, max = 400) Integer> changes) {
         PublishedItems merged = new PublishedItems();
         Map<String, Long> highest = new HashMap<>();
         for (int change : changes) {
@@ -77,15 +76,15 @@
     }
 
     private static List<PublishedItem> merge(PublishedItems into, List<PublishedItem> changes, long after, long upTo) {
-        return plain(into.merge(changes, new StorePosition(0, after), new StorePosition(0, upTo)));
+        return items(into.merge(changes, new StorePosition(0, after), new StorePosition(0, upTo)));
     }
 
-    private List<PublishedItem> replace(List<PublishedItem> state, long at) {
-        return plain(items.replace(state, new StorePosition(0, at)));
+    private List<PublishedItem> mergeSnapshot(List<PublishedItem> snapshot, long at) {
+        return items(items.mergeSnapshot(snapshot, new StorePosition(0, at)));
     }
 
-    private static List<PublishedItem> plain(List<ItemChange> changes) {
-        assertThat(changes).noneMatch(ItemChange::doubtful);
+    private static List<PublishedItem> items(List<ItemChange> changes) {
+        assertThat(changes).noneMatch(ItemChange::uncertain);
         return changes.stream().map(ItemChange::item).toList();
     }
 
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreErasTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreErasTest.java
@@ -13,91 +13,92 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Items of a store that comes back from a copy now and then. */
+/** Merging of items of a store that is restored from a backup now and then. */
 class StoreErasTest {
     private final PublishedItems items = new PublishedItems();
 
     @Test
-    void aRevisionThatIsGivenOutAgainIsAnotherChange() {
-        items.replace(List.of(item("a", 5, 1), item("b", 9, 1)), at(1, 9));
-        List<ItemChange> news = items.replace(List.of(item("a", 8, 2), item("b", 7, 1)), at(2, 8));
-        assertThat(news).containsExactly(ItemChange.certain(item("a", 8, 2)));
+    void aRevisionThatIsAssignedAgainInANewEraIsADifferentChange() {
+        items.mergeSnapshot(List.of(item("a", 5, 1), item("b", 9, 1)), at(1, 9));
+        List<ItemChange> changes = items.mergeSnapshot(List.of(item("a", 8, 2), item("b", 7, 1)), at(2, 8));
+        assertThat(changes).containsExactly(ItemChange.certain(item("a", 8, 2)));
         assertThat(items.position()).isEqualTo(at(2, 8));
         assertThat(items.merge(List.of(item("b", 9, 3)), at(2, 8), at(2, 9))).hasSize(1);
     }
 
     @Test
-    void whatIsOfAnEraBeforeIsNoNews() {
-        items.replace(List.of(item("a", 5, 1)), at(2, 5));
-        assertThat(items.replace(List.of(item("a", 50, 2)), at(1, 50))).isEmpty();
+    void changesOfAnEarlierEraAreIgnored() {
+        items.mergeSnapshot(List.of(item("a", 5, 1)), at(2, 5));
+        assertThat(items.mergeSnapshot(List.of(item("a", 50, 2)), at(1, 50))).isEmpty();
         assertThat(items.merge(List.of(item("a", 51, 2)), at(1, 5), at(1, 51))).isEmpty();
     }
 
     @Test
-    void whatACopyLacksIsInDoubt() {
-        items.replace(List.of(item("a", 5, 1)), at(1, 5));
-        assertThat(items.replace(List.of(), at(2, 3))).singleElement().satisfies(change -> {
+    void theDeletionOfAnItemThatIsMissingFromTheBackupIsUncertain() {
+        items.mergeSnapshot(List.of(item("a", 5, 1)), at(1, 5));
+        assertThat(items.mergeSnapshot(List.of(), at(2, 3))).singleElement().satisfies(change -> {
             assertThat(change.item().deleted()).isTrue();
-            assertThat(change.doubtful()).isTrue();
+            assertThat(change.uncertain()).isTrue();
         });
     }
 
     @Test
-    void whatWasDeletedAfterTheCopyWasMadeIsInDoubtUntilItIsWrittenAgain() {
-        items.replace(List.of(item("a", 5, 1), item("b", 6, 1)), at(1, 6));
+    void anItemThatWasDeletedAfterTheBackupIsUncertainUntilItIsWrittenAgain() {
+        items.mergeSnapshot(List.of(item("a", 5, 1), item("b", 6, 1)), at(1, 6));
         items.merge(List.of(deleted("a", 7), deleted("b", 8)), at(1, 6), at(1, 8));
-        List<ItemChange> news = items.replace(List.of(item("a", 5, 1), item("b", 7, 1)), at(2, 7));
-        assertThat(news)
+        List<ItemChange> changes = items.mergeSnapshot(List.of(item("a", 5, 1), item("b", 7, 1)), at(2, 7));
+        assertThat(changes)
                 .containsExactlyInAnyOrder(
                         new ItemChange(item("a", 5, 1), true), new ItemChange(item("b", 7, 1), false));
     }
 
-    // One process reads the store; the other hears of it by messages that get lost, and asks when it is behind.
+    // One process reads the store. The other receives its changes in messages, some of which are lost, and requests a
+    // snapshot when it lags behind.
     @Property(seed = "20261203", tries = 300)
-    void bothProcessesEndWithWhatTheStoreHolds(@ForAll long seed) {
+    void bothProcessesEndWithTheItemsOfTheStore(@ForAll long seed) {
         Random random = new Random(seed);
         Store store = new Store();
         PublishedItems reader = new PublishedItems();
         PublishedItems listener = new PublishedItems();
         for (int step = 0; step < 60; step++) {
-            store.act(random);
+            store.performRandomAction(random);
             if (random.nextInt(3) == 0) {
                 StorePosition before = reader.position();
-                List<ItemChange> news = store.read(reader);
+                List<ItemChange> changes = store.read(reader);
                 if (before.revision() > 0 && random.nextInt(4) > 0) {
-                    listener.merge(news.stream().map(ItemChange::item).toList(), before, reader.position());
+                    listener.merge(changes.stream().map(ItemChange::item).toList(), before, reader.position());
                 }
             }
             if (random.nextInt(8) == 0 && reader.position().isAfter(listener.position())) {
-                listener.replace(reader.live(), reader.position());
+                listener.mergeSnapshot(reader.live(), reader.position());
             }
         }
         store.read(reader);
         if (reader.position().isAfter(listener.position())) {
-            listener.replace(reader.live(), reader.position());
+            listener.mergeSnapshot(reader.live(), reader.position());
         }
         assertThat(values(reader)).isEqualTo(store.values());
         assertThat(values(listener)).isEqualTo(store.values());
     }
 
-    /** A store with its history and a copy. */
+    /** A store with its history and a backup. */
     private static final class Store {
         private final List<PublishedItem> history = new ArrayList<>();
         private long era = 1;
-        private int copied;
-        private int written;
+        private int backupSize;
+        private int lastValue;
 
-        void act(Random random) {
+        void performRandomAction(Random random) {
             int action = random.nextInt(12);
             if (action == 0) {
-                copied = history.size();
+                backupSize = history.size();
             } else if (action == 1) {
-                history.subList(copied, history.size()).clear();
+                history.subList(backupSize, history.size()).clear();
                 era++;
             } else {
                 String key = "k" + random.nextInt(4);
                 long revision = history.size() + 1L;
-                history.add(random.nextInt(4) == 0 ? deleted(key, revision) : item(key, revision, ++written));
+                history.add(random.nextInt(4) == 0 ? deleted(key, revision) : item(key, revision, ++lastValue));
             }
         }
 
@@ -105,30 +106,30 @@
             return at(era, history.size());
         }
 
-        /** By a waiting call where the store has the history, else whole. */
+        /** Reads the changes by a long poll if the store has the history, else a snapshot. */
         List<ItemChange> read(PublishedItems reader) {
-            StorePosition known = reader.position();
-            if (known.era() == era) {
-                List<PublishedItem> changes = List.copyOf(history.subList((int) known.revision(), history.size()));
-                return reader.merge(changes, known, position());
+            StorePosition current = reader.position();
+            if (current.era() == era) {
+                List<PublishedItem> changes = List.copyOf(history.subList((int) current.revision(), history.size()));
+                return reader.merge(changes, current, position());
             }
-            return reader.replace(List.copyOf(state().values()), position());
+            return reader.mergeSnapshot(List.copyOf(liveItems().values()), position());
         }
 
-        private Map<String, PublishedItem> state() {
-            Map<String, PublishedItem> state = new TreeMap<>();
-            history.forEach(item -> state.put(item.key(), item));
-            state.values().removeIf(PublishedItem::deleted);
-            return state;
+        private Map<String, PublishedItem> liveItems() {
+            Map<String, PublishedItem> live = new TreeMap<>();
+            history.forEach(item -> live.put(item.key(), item));
+            live.values().removeIf(PublishedItem::deleted);
+            return live;
         }
 
         Map<String, Byte> values() {
-            return StoreErasTest.values(state().values());
+            return StoreErasTest.values(liveItems().values());
         }
     }
 
-    private static Map<String, Byte> values(PublishedItems known) {
-        return values(known.live());
+    private static Map<String, Byte> values(PublishedItems items) {
+        return values(items.live());
     }
 
     private static Map<String, Byte> values(Iterable<PublishedItem> live) {
