--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreFollowerElectionTest.java
@@ -9,202 +9,204 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class StoreFollowerElectionTest {
-    private static final long MILLISECOND = 1_000_000L;
-    private static final Duration BOUND = Duration.ofSeconds(2);
-    private static final long FRESH_MILLIS = 1_500;
-    private static final int FLEET = 95;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final Duration DEADLINE = Duration.ofSeconds(2);
+    private static final long REPORT_TTL_MILLIS = 1_500;
+    private static final int FLEET_SIZE = 95;
     private static final int FOLLOWERS = 2;
 
-    private final StoreFollowerElection election = member(4);
+    private final StoreFollowerElection election = electionOfRank(4);
 
-    private static StoreFollowerElection member(int rank) {
-        StoreFollowerElection election = new StoreFollowerElection(BOUND, 0);
-        election.order(rank, IntStream.range(0, FLEET).boxed().toList(), FOLLOWERS);
-        hear(election, rank, 0);
+    private static StoreFollowerElection electionOfRank(int rank) {
+        StoreFollowerElection election = new StoreFollowerElection(DEADLINE, 0);
+        election.updateRanking(rank, IntStream.range(0, FLEET_SIZE).boxed().toList(), FOLLOWERS);
+        report(election, rank, 0);
         return election;
     }
 
-    // A whole fleet starts. If each process followed before it hears of the others, the store would get a call of each
-    // for every worker that starts too.
+    // A whole fleet starts. If each process polled the store before it receives reports of the others, each worker that
+    // starts as well would cause a call of every process.
     @Test
-    void aProcessThatHasHeardOfNobodyFollowsTheStoreAfterAMoment() {
-        StoreFollowerElection alone = new StoreFollowerElection(BOUND, 0);
+    void aProcessWithoutReportsOfPeersFollowsTheStoreAfterADelay() {
+        StoreFollowerElection alone = new StoreFollowerElection(DEADLINE, 0);
         assertThat(alone.shouldFollow(0)).isFalse();
-        assertThat(alone.shouldFollow(249 * MILLISECOND)).isFalse();
-        assertThat(alone.shouldFollow(250 * MILLISECOND)).isTrue();
+        assertThat(alone.shouldFollow(249 * NANOS_PER_MILLI)).isFalse();
+        assertThat(alone.shouldFollow(250 * NANOS_PER_MILLI)).isTrue();
     }
 
     @Test
-    void theFirstProcessesFollowWhateverTheyHear() {
+    void theProcessesOfBestRankFollowRegardlessOfOtherFollowers() {
         for (int rank = 0; rank < FOLLOWERS; rank++) {
-            StoreFollowerElection first = member(rank);
-            IntStream.range(0, FLEET).forEach(id -> hear(first, id, 0));
+            StoreFollowerElection first = electionOfRank(rank);
+            IntStream.range(0, FLEET_SIZE).forEach(id -> report(first, id, 0));
             assertThat(first.shouldFollow(0)).isTrue();
         }
-        hear(election, 0, 0);
-        hear(election, 1, 0);
+        report(election, 0, 0);
+        report(election, 1, 0);
         assertThat(election.shouldFollow(0)).isFalse();
     }
 
-    // Both processes that follow are killed just before a key is taken away. The others must read the store in time, or
-    // the key goes on being served.
+    // Both followers are killed just before a key is revoked. The other processes must read the store within the
+    // deadline, or they continue to accept the key.
     @Test
-    void aProcessRestsOnlyWhileItHearsThatOthersFollow() {
-        hear(election, 0, 0);
-        hear(election, 1, 0);
-        assertThat(election.shouldFollow((FRESH_MILLIS - 1) * MILLISECOND)).isFalse();
-        assertThat(election.shouldFollow(FRESH_MILLIS * MILLISECOND)).isFalse();
-        assertThat(election.shouldFollow((FRESH_MILLIS + 100) * MILLISECOND)).isTrue();
-    }
-
-    // Followers are lost. If all others called the store at once, a store that turns some away would get the calls of
-    // all
-    // that it serves, for as long as it does so.
+    void aProcessReliesOnFollowersOnlyWhileTheirReportsAreValid() {
+        report(election, 0, 0);
+        report(election, 1, 0);
+        assertThat(election.shouldFollow((REPORT_TTL_MILLIS - 1) * NANOS_PER_MILLI))
+                .isFalse();
+        assertThat(election.shouldFollow(REPORT_TTL_MILLIS * NANOS_PER_MILLI)).isFalse();
+        assertThat(election.shouldFollow((REPORT_TTL_MILLIS + 100) * NANOS_PER_MILLI))
+                .isTrue();
+    }
+
+    // Followers are lost. If all other processes polled the store at once, a store that rejects some processes would
+    // get calls of all those that it accepts, for as long as it rejects the others.
     @Test
-    void processesComeIntoQuestionOneGroupAfterTheOtherAndTheLastStillInTime() {
-        int before = 0;
-        for (int rank = 0; rank < FLEET; rank++) {
-            StoreFollowerElection one = member(rank);
-            one.shouldFollow(0);
-            int turn = turnMillis(one);
-            assertThat(turn).isGreaterThanOrEqualTo(before);
-            assertThat(FRESH_MILLIS + turn).isLessThan(BOUND.toMillis() - 150);
-            before = turn;
+    void processesTakeOverInGroupsAndTheLastGroupStillMeetsTheDeadline() {
+        int previous = 0;
+        for (int rank = 0; rank < FLEET_SIZE; rank++) {
+            StoreFollowerElection other = electionOfRank(rank);
+            other.shouldFollow(0);
+            int delay = takeoverDelayMillis(other);
+            assertThat(delay).isGreaterThanOrEqualTo(previous);
+            assertThat(REPORT_TTL_MILLIS + delay).isLessThan(DEADLINE.toMillis() - 150);
+            previous = delay;
         }
-        assertThat(turnMillis(member(FOLLOWERS + 1))).isPositive();
+        assertThat(takeoverDelayMillis(electionOfRank(FOLLOWERS + 1))).isPositive();
     }
 
-    private static int turnMillis(StoreFollowerElection one) {
-        one.shouldFollow(0);
-        return IntStream.range(0, (int) BOUND.toMillis())
-                .filter(millis -> one.shouldFollow(millis * MILLISECOND))
+    private static int takeoverDelayMillis(StoreFollowerElection other) {
+        other.shouldFollow(0);
+        return IntStream.range(0, (int) DEADLINE.toMillis())
+                .filter(millis -> other.shouldFollow(millis * NANOS_PER_MILLI))
                 .findFirst()
                 .orElseThrow();
     }
 
-    // What a follower says of itself is as old as a whole call and the time between two calls, and has been under way
-    // for
-    // three periods of reports, when the next one comes. If that were too old, others would begin to follow all day.
+    // When the next answer of a follower is reported, the previous one is as old as a long poll, the delay between two
+    // and three report periods. If reports expired earlier, other processes would take over again and again without
+    // need.
     @Test
-    void theWordOfAFollowerThatOnlyWaitsDoesNotRunOut() {
+    void theReportOfAFollowerThatWaitsInALongPollDoesNotExpire() {
         long oldest = election.longPollTimeout().plus(election.batchDelay()).toMillis() + 300;
-        assertThat(oldest).isLessThan(FRESH_MILLIS);
+        assertThat(oldest).isLessThan(REPORT_TTL_MILLIS);
     }
 
-    // Changes get lost on a connection between two processes that has gone silent, while reports still come.
+    // Changes get lost on a broken connection between two processes, while load reports still arrive.
     @Test
-    void aProcessThatStaysBehindFollowsByItself() {
-        hear(election, 0, 0);
-        hear(election, 1, 0);
-        election.behind(true, 0);
-        assertThat(election.shouldFollow(300 * MILLISECOND)).isFalse();
-        election.behind(true, 300 * MILLISECOND);
-        assertThat(election.shouldFollow(500 * MILLISECOND)).isTrue();
-        election.behind(false, 500 * MILLISECOND);
-        assertThat(election.shouldFollow(500 * MILLISECOND)).isFalse();
-    }
-
-    // The store turns away the first processes of the order. Some others have taken over; of these too the first ones
-    // go
-    // on, and if each stopped because of the other, nobody would follow.
+    void aProcessThatKeepsLaggingBehindItsPeersFollows() {
+        report(election, 0, 0);
+        report(election, 1, 0);
+        election.recordStaleness(true, 0);
+        assertThat(election.shouldFollow(300 * NANOS_PER_MILLI)).isFalse();
+        election.recordStaleness(true, 300 * NANOS_PER_MILLI);
+        assertThat(election.shouldFollow(500 * NANOS_PER_MILLI)).isTrue();
+        election.recordStaleness(false, 500 * NANOS_PER_MILLI);
+        assertThat(election.shouldFollow(500 * NANOS_PER_MILLI)).isFalse();
+    }
+
+    // The store rejects the processes of best rank, and others have taken over. The best ranked of these must continue;
+    // if each stopped because of the others, no process would follow.
     @Test
-    void ofThoseThatHaveTakenOverTheFirstGoOn() {
-        StoreFollowerElection fifth = member(5);
-        for (StoreFollowerElection each : List.of(election, fifth)) {
-            each.shouldFollow(0);
-            each.recordStoreAnswer(0);
-            hear(each, 7, 0);
-            hear(each, 8, 0);
+    void theBestRankedOfTheProcessesThatHaveTakenOverContinue() {
+        StoreFollowerElection fifth = electionOfRank(5);
+        for (StoreFollowerElection member : List.of(election, fifth)) {
+            member.shouldFollow(0);
+            member.recordStoreAnswer(0);
+            report(member, 7, 0);
+            report(member, 8, 0);
         }
-        hear(fifth, 4, 0);
-        hear(election, 5, 0);
+        report(fifth, 4, 0);
+        report(election, 5, 0);
         assertThat(election.shouldFollow(0)).isTrue();
         assertThat(fifth.shouldFollow(0)).isTrue();
-        hear(fifth, 3, 0);
+        report(fifth, 3, 0);
         assertThat(fifth.shouldFollow(0)).isFalse();
     }
 
     @Test
-    void theAgeOfWhatWasHeardIsToldOnOfTheFirstOnesOnly() {
-        assertThat(member(4).followers(0)).isEmpty();
-        hear(election, 9, 0);
-        hear(election, 8, 100 * MILLISECOND);
-        hear(election, 7, 0);
-        assertThat(election.followers(700 * MILLISECOND))
+    void onlyTheBestRankedFollowersAreReportedWithTheAgeOfTheirAnswers() {
+        assertThat(electionOfRank(4).followers(0)).isEmpty();
+        report(election, 9, 0);
+        report(election, 8, 100 * NANOS_PER_MILLI);
+        report(election, 7, 0);
+        assertThat(election.followers(700 * NANOS_PER_MILLI))
                 .containsExactly(
                         new StoreFollowerElection.Follower(7, 1, 700), new StoreFollowerElection.Follower(8, 1, 600));
-        assertThat(election.followers((FRESH_MILLIS + 99) * MILLISECOND))
-                .containsExactly(new StoreFollowerElection.Follower(8, 1, FRESH_MILLIS - 1));
+        assertThat(election.followers((REPORT_TTL_MILLIS + 99) * NANOS_PER_MILLI))
+                .containsExactly(new StoreFollowerElection.Follower(8, 1, REPORT_TTL_MILLIS - 1));
     }
 
-    // The process that follows is cut off from the store, and its waiting call hangs. What it tells the others must get
-    // old meanwhile, or they rely on it until the call's timeout.
+    // A follower is disconnected from the store and its long poll hangs. Its reported age must increase meanwhile, or
+    // the others rely on it until the call's time-out.
     @Test
-    void aFollowersWordIsAsOldAsItsLastAnswer() {
+    void theAgeOfAFollowerIsThatOfItsLastAnswer() {
         election.recordStoreAnswer(0);
-        assertThat(election.followers(900 * MILLISECOND))
+        assertThat(election.followers(900 * NANOS_PER_MILLI))
                 .containsExactly(new StoreFollowerElection.Follower(4, 1, 900));
-        assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
+        assertThat(election.followers(REPORT_TTL_MILLIS * NANOS_PER_MILLI)).isEmpty();
         election.stopFollowing();
-        assertThat(election.followers(900 * MILLISECOND)).isEmpty();
+        assertThat(election.followers(900 * NANOS_PER_MILLI)).isEmpty();
     }
 
     @Test
-    void peersHearOfAnAnswerSoon() {
+    void anAnswerIsReportedToPeersWithTheNextReport() {
         election.recordStoreAnswer(5);
-        assertThat(election.newsSince(4)).isTrue();
-        assertThat(election.newsSince(5)).isFalse();
-        hear(election, 0, 7);
-        assertThat(election.newsSince(5)).isTrue();
-        hear(election, 0, 9);
-        assertThat(election.newsSince(7)).isFalse();
+        assertThat(election.hasChangedSince(4)).isTrue();
+        assertThat(election.hasChangedSince(5)).isFalse();
+        report(election, 0, 7);
+        assertThat(election.hasChangedSince(5)).isTrue();
+        report(election, 0, 9);
+        assertThat(election.hasChangedSince(7)).isFalse();
     }
 
-    // A follower is gone, and busy processes go on telling each other of its last answer. Each time that word has been
-    // under way for 50 ms, so that it would look as young as before, and nobody would take over.
+    // A follower has died, and busy processes continue to report its last answer to each other. Each report is in
+    // transit for 50 ms, which would make the answer appear as recent as before, so that no process would take over.
     @Test
-    void theWordOfAProcessThatIsGoneDoesNotBecomeYoungerByBeingRepeated() {
-        election.heard(new StoreFollowerElection.Follower(0, 5, 0), 0);
-        election.heard(new StoreFollowerElection.Follower(1, 5, 0), 0);
+    void repeatedReportsDoNotExtendTheValidityOfADeadFollower() {
+        election.recordFollower(new StoreFollowerElection.Follower(0, 5, 0), 0);
+        election.recordFollower(new StoreFollowerElection.Follower(1, 5, 0), 0);
         election.shouldFollow(0);
-        for (long millis = 100; millis < FRESH_MILLIS; millis += 100) {
-            election.heard(new StoreFollowerElection.Follower(0, 5, millis - 50), millis * MILLISECOND);
+        for (long millis = 100; millis < REPORT_TTL_MILLIS; millis += 100) {
+            election.recordFollower(new StoreFollowerElection.Follower(0, 5, millis - 50), millis * NANOS_PER_MILLI);
         }
-        assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
-        election.shouldFollow(FRESH_MILLIS * MILLISECOND);
-        election.heard(new StoreFollowerElection.Follower(0, 5, FRESH_MILLIS - 50), FRESH_MILLIS * MILLISECOND);
-        assertThat(election.followers(FRESH_MILLIS * MILLISECOND)).isEmpty();
+        assertThat(election.followers(REPORT_TTL_MILLIS * NANOS_PER_MILLI)).isEmpty();
+        election.shouldFollow(REPORT_TTL_MILLIS * NANOS_PER_MILLI);
+        election.recordFollower(
+                new StoreFollowerElection.Follower(0, 5, REPORT_TTL_MILLIS - 50), REPORT_TTL_MILLIS * NANOS_PER_MILLI);
+        assertThat(election.followers(REPORT_TTL_MILLIS * NANOS_PER_MILLI)).isEmpty();
     }
 
     @Test
-    void aProcessThatStartsAgainIsHeardAtOnce() {
-        StoreFollowerElection before = new StoreFollowerElection(BOUND, 1_000);
+    void answersAfterARestartAreNewerThanThoseBefore() {
+        StoreFollowerElection before = new StoreFollowerElection(DEADLINE, 1_000);
         before.recordStoreAnswer(0);
-        StoreFollowerElection after = new StoreFollowerElection(BOUND, 2_000);
+        StoreFollowerElection after = new StoreFollowerElection(DEADLINE, 2_000);
         after.recordStoreAnswer(0);
         assertThat(after.followers(0).get(0).answer())
                 .isGreaterThan(before.followers(0).get(0).answer());
     }
 
-    /** The first answer of a process, had at some moment. */
-    private static void hear(StoreFollowerElection election, int id, long atNanos) {
-        election.heard(new StoreFollowerElection.Follower(id, 1, 0), atNanos);
+    /** Reports the first answer of a process, received at the given time. */
+    private static void report(StoreFollowerElection election, int id, long atNanos) {
+        election.recordFollower(new StoreFollowerElection.Follower(id, 1, 0), atNanos);
     }
 
-    // The store is away. Without turns it would get as many calls a second as there are processes, twice.
+    // The store is unavailable. If each process retried as often as a single one, the store would get two calls per
+    // second from each process.
     @Test
-    void manyProcessesTakeTurnsAtAStoreThatIsAway() {
+    void aLargeFleetLimitsItsRetriesOfAnUnavailableStore() {
         int calls = 0;
-        for (int rank = 0; rank < FLEET; rank++) {
-            StoreFollowerElection one = member(rank);
-            long millis = one.retryDelayMillis(500, 1);
+        for (int rank = 0; rank < FLEET_SIZE; rank++) {
+            StoreFollowerElection other = electionOfRank(rank);
+            long millis = other.retryDelayMillis(500, 1);
             for (int failures = 2; millis < 60_000; failures++) {
                 calls++;
-                millis += one.retryDelayMillis(500, failures);
+                millis += other.retryDelayMillis(500, failures);
             }
         }
         assertThat(calls).isBetween(60 * 7, 60 * 9);
-        StoreFollowerElection alone = new StoreFollowerElection(BOUND, 0);
+        StoreFollowerElection alone = new StoreFollowerElection(DEADLINE, 0);
         assertThat(alone.retryDelayMillis(500, 1)).isEqualTo(500);
         assertThat(alone.retryDelayMillis(500, 9)).isEqualTo(500);
     }
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -12,128 +12,128 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** What a fleet sends to a worker that is cold, each process deciding by itself and hearing nothing of the others. */
+/** Requests that a fleet sends to a cold worker when its processes do not receive load reports of one another. */
 class ColdWorkersTest {
-    private static final long MILLI = 1_000_000L;
-    private static final long SECOND = 1_000 * MILLI;
+    private static final long MILLI_NANOS = 1_000_000L;
+    private static final long SECOND_NANOS = 1_000 * MILLI_NANOS;
     private static final ColdStart COLD_START = new ColdStart(3_000, 5.9);
 
-    /** Of the deployment that asks for the most care: 1.5 times what a worker bears in a second and five more. */
-    private static final double BOUND = 5.9 * 1.5 + 5;
+    /** Strictest limit of any deployment: 1.5 times the request rate that a worker can take, plus five. */
+    private static final double MAX_REQUESTS_PER_SECOND = 5.9 * 1.5 + 5;
 
     private static final int PROCESSES = 60;
 
     private final List<Workers> fleet = new ArrayList<>();
     private final List<Long> sent = new ArrayList<>();
 
-    // An engine comes back after a crash, idle and cold, while sixty processes have more requests than the other
-    // engines
-    // take. If each sent it what fits it best, it would crash again at once, with all that it had been given.
+    // An engine restarts after a crash, idle and cold, while sixty processes have more requests than the other engines
+    // can take. If each process sent it the requests that fit it best, it would crash again immediately, and all of
+    // these requests with it.
     @Test
-    void aWorkerThatCameBackGetsNoMoreThanItBears() {
+    void aColdWorkerGetsNoMoreRequestsThanItsLimit() {
         start(PROCESSES, 0);
-        publish(3_000, 5 * SECOND);
-        pressUntil(8 * SECOND, 5 * SECOND);
-        assertThat(busiestSecond()).isBetween(4, 5);
+        publish(3_000, 5 * SECOND_NANOS);
+        sendAsPermittedUntil(8 * SECOND_NANOS, 5 * SECOND_NANOS);
+        assertThat(maxRequestsInASecond()).isBetween(4, 5);
     }
 
-    // A network partition cuts the fleet in two, and each half takes the other one for dead.
+    // A network partition splits the fleet, and each half considers the other one dead.
     @Test
-    void twoHalvesOfAFleetStayBelowTheBoundTogether() {
+    void twoHalvesOfAPartitionedFleetTogetherStayBelowTheLimit() {
         start(PROCESSES, 0);
         List<String> first = names(0, PROCESSES / 2);
         List<String> second = names(PROCESSES / 2, PROCESSES);
         for (int i = 0; i < PROCESSES; i++) {
             List<String> half = i < PROCESSES / 2 ? first : second;
-            fleet.get(i).fleet(name(i), without(half, name(i)), 5 * SECOND);
+            fleet.get(i).updateFleet(name(i), without(half, name(i)), 5 * SECOND_NANOS);
         }
-        publish(3_000, 6 * SECOND);
-        pressUntil(9 * SECOND, 6 * SECOND);
-        assertThat((double) busiestSecond()).isPositive().isLessThan(BOUND);
+        publish(3_000, 6 * SECOND_NANOS);
+        sendAsPermittedUntil(9 * SECOND_NANOS, 6 * SECOND_NANOS);
+        assertThat((double) maxRequestsInASecond()).isPositive().isLessThan(MAX_REQUESTS_PER_SECOND);
     }
 
-    // All processes lose power and come back, each knowing only itself at first and meeting the others one by one,
-    // while a
-    // worker is cold as well. Each would hold all shares of the worker.
+    // All processes restart after a power failure while a worker is cold as well. At first each process knows only
+    // itself and would use the whole request rate of the worker; it discovers the others one by one.
     @Test
-    void processesThatAreOnlyMeetingEachOtherUseNoColdWorker() {
+    void processesThatAreStillDiscoveringTheFleetUseNoColdWorker() {
         for (int i = 0; i < PROCESSES; i++) {
-            fleet.add(process());
+            fleet.add(newProcess());
         }
         publish(60_000, 0);
         for (int round = 0; round < 20; round++) {
-            long now = round * SECOND / 10;
-            int known = Math.min(PROCESSES, 1 + round * round);
+            long now = round * SECOND_NANOS / 10;
+            int discovered = Math.min(PROCESSES, 1 + round * round);
             for (int i = 0; i < PROCESSES; i++) {
-                int from = Math.min(i, PROCESSES - known);
-                fleet.get(i).fleet(name(i), without(names(from, from + known), name(i)), now);
+                int from = Math.min(i, PROCESSES - discovered);
+                fleet.get(i).updateFleet(name(i), without(names(from, from + discovered), name(i)), now);
             }
-            pressUntil(now + SECOND / 10, now);
+            sendAsPermittedUntil(now + SECOND_NANOS / 10, now);
         }
-        assertThat(busiestSecond()).isLessThanOrEqualTo(5);
-        pressUntil(8 * SECOND, 2 * SECOND);
+        assertThat(maxRequestsInASecond()).isLessThanOrEqualTo(5);
+        sendAsPermittedUntil(8 * SECOND_NANOS, 2 * SECOND_NANOS);
         assertThat(sent).isNotEmpty();
-        assertThat(busiestSecond()).isLessThanOrEqualTo(5);
+        assertThat(maxRequestsInASecond()).isLessThanOrEqualTo(5);
     }
 
-    // A worker crashes and is back under its name before its entry tells of the new start. Processes that found it gone
-    // must not all believe that it is as before.
+    // A worker crashes and restarts under its name before its entry shows the new start. Processes that failed to
+    // connect to it must not treat it as warm.
     @Test
-    void aWorkerThatCouldNotBeReachedIsTakenForCold() {
+    void aWorkerIsAssumedColdAfterAFailedConnection() {
         start(1, 0);
-        publish(0, 4 * SECOND);
+        publish(0, 4 * SECOND_NANOS);
         Workers process = fleet.get(0);
-        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
-        Placement placement = process.place(process.find("w").orElseThrow(), false, 0, 5 * SECOND);
-        placement.recordConnectFailure(5 * SECOND);
+        assertThat(permission(process, 5 * SECOND_NANOS)).isEqualTo(SendPermission.UNLIMITED);
+        Placement placement = process.place(process.find("w").orElseThrow(), false, 0, 5 * SECOND_NANOS);
+        placement.recordConnectFailure(5 * SECOND_NANOS);
         placement.end();
-        assertThat(state(process, 7 * SECOND)).isEqualTo(SendPermission.RATE_LIMITED);
-        assertThat(state(process, 8 * SECOND + MILLI)).isEqualTo(SendPermission.UNLIMITED);
+        assertThat(permission(process, 7 * SECOND_NANOS)).isEqualTo(SendPermission.RATE_LIMITED);
+        assertThat(permission(process, 8 * SECOND_NANOS + MILLI_NANOS)).isEqualTo(SendPermission.UNLIMITED);
     }
 
-    // A data centre is taken back. What its workers said before it was evacuated is old: they are cold now.
+    // The evacuation of a data centre ends. Its workers have been idle, so what they published before is outdated and
+    // they are cold now.
     @Test
-    void workersOfADataCentreThatIsTakenBackAreTakenForCold() {
+    void workersAreAssumedColdAfterAnEvacuation() {
         start(1, 0);
-        publish(0, 4 * SECOND);
+        publish(0, 4 * SECOND_NANOS);
         Workers process = fleet.get(0);
-        process.evacuated("dc");
-        process.takenBack("dc", 9 * SECOND);
-        assertThat(state(process, 9 * SECOND)).isEqualTo(SendPermission.RATE_LIMITED);
-        assertThat(state(process, 12 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
+        process.evacuate("dc");
+        process.endEvacuation("dc", 9 * SECOND_NANOS);
+        assertThat(permission(process, 9 * SECOND_NANOS)).isEqualTo(SendPermission.RATE_LIMITED);
+        assertThat(permission(process, 12 * SECOND_NANOS)).isEqualTo(SendPermission.UNLIMITED);
     }
 
     @Test
-    void aWorkersOwnWordEndsItsColdTime() {
+    void aWorkerIsWarmOnceItPublishesThatItIs() {
         start(1, 0);
-        publish(60_000, 4 * SECOND);
+        publish(60_000, 4 * SECOND_NANOS);
         Workers process = fleet.get(0);
-        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.RATE_LIMITED);
-        publish(0, 6 * SECOND);
-        assertThat(state(process, 6 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
+        assertThat(permission(process, 5 * SECOND_NANOS)).isEqualTo(SendPermission.RATE_LIMITED);
+        publish(0, 6 * SECOND_NANOS);
+        assertThat(permission(process, 6 * SECOND_NANOS)).isEqualTo(SendPermission.UNLIMITED);
     }
 
     @Test
-    void workersOfAnUpstreamWithoutABoundAreNeverCold() {
+    void workersOfAnUpstreamWithoutALimitAreNeverCold() {
         start(1, 0);
-        publish(60_000, 4 * SECOND);
+        publish(60_000, 4 * SECOND_NANOS);
         Workers process = fleet.get(0);
-        process.upstreams(upstream -> true, upstream -> new ColdStart(3_000, 0));
-        assertThat(state(process, 5 * SECOND)).isEqualTo(SendPermission.UNLIMITED);
+        process.configureUpstreams(upstream -> true, upstream -> new ColdStart(3_000, 0));
+        assertThat(permission(process, 5 * SECOND_NANOS)).isEqualTo(SendPermission.UNLIMITED);
     }
 
     private void start(int processes, long nowNanos) {
         List<String> all = names(0, processes);
         for (int i = 0; i < processes; i++) {
-            Workers process = process();
-            process.fleet(name(i), without(all, name(i)), nowNanos);
+            Workers process = newProcess();
+            process.updateFleet(name(i), without(all, name(i)), nowNanos);
             fleet.add(process);
         }
     }
 
-    private static Workers process() {
+    private static Workers newProcess() {
         Workers process = new Workers();
-        process.upstreams(upstream -> true, upstream -> COLD_START);
+        process.configureUpstreams(upstream -> true, upstream -> COLD_START);
         return process;
     }
 
@@ -142,11 +142,11 @@
         fleet.forEach(process -> process.addOrUpdate(entry, nowNanos));
     }
 
-    /** Every process sends as much as it may. */
-    private void pressUntil(long untilNanos, long fromNanos) {
-        for (long now = fromNanos; now < untilNanos; now += 10 * MILLI) {
+    /** Every 10 ms, each process sends a request if it is permitted to. */
+    private void sendAsPermittedUntil(long untilNanos, long fromNanos) {
+        for (long now = fromNanos; now < untilNanos; now += 10 * MILLI_NANOS) {
             for (Workers process : fleet) {
-                if (state(process, now) != SendPermission.DENIED) {
+                if (permission(process, now) != SendPermission.DENIED) {
                     process.place(process.find("w").orElseThrow(), false, 0, now);
                     sent.add(now);
                 }
@@ -154,16 +154,16 @@
         }
     }
 
-    private int busiestSecond() {
+    private int maxRequestsInASecond() {
         return sent.stream()
                 .mapToInt(from -> (int) sent.stream()
-                        .filter(at -> at >= from && at - from < SECOND)
+                        .filter(at -> at >= from && at - from < SECOND_NANOS)
                         .count())
                 .max()
                 .orElse(0);
     }
 
-    private static SendPermission state(Workers process, long nowNanos) {
+    private static SendPermission permission(Workers process, long nowNanos) {
         List<WorkerLoad> candidates = process.candidates("u", Set.of(), nowNanos);
         return candidates.get(0).sendPermission();
     }
