--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SuspectPlacementTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/forward/SuspectPlacementTest.java
@@ -34,14 +34,14 @@
             60,
             LatencyClass.START_SENSITIVE);
 
-    private final GatewayState state = new GatewayState(new GatewayState.RepeatLimit(0.2, 50, 10_000_000_000L));
+    private final GatewayState state = new GatewayState(new GatewayState.RetryLimit(0.2, 50, 10_000_000_000L));
     private final WorkerSelection selection = new WorkerSelection("dc-a", state, new Random(20261203));
 
     @BeforeEach
     void publishEngines() {
         for (int i = 0; i < ENGINE_COUNT; i++) {
             WorkerEntry entry = new WorkerEntry("e-" + i, 0, "llm", "10.0.0." + i, 80, "dc-a", 16, false, 0);
-            state.workers().published(entry, NOW_NANOS);
+            state.workers().addOrUpdate(entry, NOW_NANOS);
         }
     }
 
