--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationRelay.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationRelay.java
@@ -22,7 +22,7 @@
  */
 public final class ConfigurationRelay {
 
-    private final Folder folder;
+    private final EntryReducer folder;
     private final RelaySettings settings;
     private final PeerHeads peers;
     private final ServiceReads reads;
@@ -48,7 +48,7 @@
      * @param random used only while an event is handled
      * @param nowNanos the present time on the monotonic clock
      */
-    public ConfigurationRelay(Folder folder, RelaySettings settings, RandomGenerator random, long nowNanos) {
+    public ConfigurationRelay(EntryReducer folder, RelaySettings settings, RandomGenerator random, long nowNanos) {
         this.folder = folder;
         this.settings = settings;
         this.peers = new PeerHeads(random);
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/Folder.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/EntryReducer.java
@@ -9,7 +9,7 @@
  * processes that never talk to one another agree.
  */
 @FunctionalInterface
-public interface Folder {
+public interface EntryReducer {
 
     /**
      * Folds one entry. A patch must be refused when the base that it names is not the number in force. The result for a
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/FoldState.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/FoldState.java
@@ -35,13 +35,13 @@
     }
 
     /** A refused whole document decides nothing for a process that has skipped entries to reach it. */
-    Step next(Folder folder, Entry entry) {
-        Folder.Result result = folder.fold(content, entry);
-        if (result instanceof Folder.Accepted accepted) {
+    Step next(EntryReducer folder, Entry entry) {
+        EntryReducer.Result result = folder.fold(content, entry);
+        if (result instanceof EntryReducer.Accepted accepted) {
             Content folded = Content.of(entry.number(), accepted.bytes());
             return new Step(new FoldState(entry.number(), Optional.of(folded)), List.of());
         }
-        List<String> findings = ((Folder.Refused) result).findings();
+        List<String> findings = ((EntryReducer.Refused) result).findings();
         boolean skipped = entry.number() != position + 1;
         return new Step(skipped ? this : new FoldState(entry.number(), content), findings);
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredService.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredService.java
@@ -8,7 +8,7 @@
 
 import org.dotterelcourse.coordination.configuration.Content;
 import org.dotterelcourse.coordination.configuration.Entry;
-import org.dotterelcourse.coordination.configuration.Folder;
+import org.dotterelcourse.coordination.configuration.EntryReducer;
 import org.dotterelcourse.coordination.configuration.RelayEffect;
 import org.dotterelcourse.coordination.configuration.RelayEvent;
 
@@ -30,13 +30,13 @@
     }
 
     /** Keeps the size of the document: the newest patch takes the place of the last one. */
-    static Folder.Result fold(Optional<Content> inForce, Entry entry) {
+    static EntryReducer.Result fold(Optional<Content> inForce, Entry entry) {
         if (entry.whole()) {
-            return new Folder.Accepted(entry.body());
+            return new EntryReducer.Accepted(entry.body());
         }
         byte[] bytes = inForce.orElseThrow().bytes().clone();
         System.arraycopy(entry.body(), 0, bytes, 0, entry.body().length);
-        return new Folder.Accepted(bytes);
+        return new EntryReducer.Accepted(bytes);
     }
 
     synchronized long publish() {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
@@ -44,17 +44,17 @@
     }
 
     /** Accepts a patch whose first word is the number in force; keeps the bodies of all accepted entries. */
-    static Folder.Result fold(Optional<Content> inForce, Entry entry) {
+    static EntryReducer.Result fold(Optional<Content> inForce, Entry entry) {
         String body = new String(entry.body(), StandardCharsets.UTF_8);
         if (entry.whole()) {
-            return new Folder.Accepted(entry.body());
+            return new EntryReducer.Accepted(entry.body());
         }
         long base = Long.parseLong(body.substring(0, body.indexOf(' ')));
         if (inForce.isEmpty() || inForce.get().number() != base) {
-            return new Folder.Refused(List.of("base " + base));
+            return new EntryReducer.Refused(List.of("base " + base));
         }
         String before = new String(inForce.get().bytes(), StandardCharsets.UTF_8);
-        return new Folder.Accepted((before + "\n" + body).getBytes(StandardCharsets.UTF_8));
+        return new EntryReducer.Accepted((before + "\n" + body).getBytes(StandardCharsets.UTF_8));
     }
 
     void publish(boolean whole, String text) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationFolder.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationFolder.java
@@ -11,13 +11,13 @@
 import org.dotterelcourse.configuration.Finding;
 import org.dotterelcourse.coordination.configuration.Content;
 import org.dotterelcourse.coordination.configuration.Entry;
-import org.dotterelcourse.coordination.configuration.Folder;
+import org.dotterelcourse.coordination.configuration.EntryReducer;
 
 /**
  * Folds published entries into configurations. The folded document is the canonical text, so that equal content has equal
  * bytes in every process. The last result is kept as it was read, so that a patch doesn't read the whole document again.
  */
-final class ConfigurationFolder implements Folder {
+final class ConfigurationFolder implements EntryReducer {
     private final ConfigurationReader reader;
     private Configuration last;
     private byte[] lastBytes;
