--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationRelay.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationRelay.java
@@ -316,6 +316,6 @@
     }
 
     private void raise(RelayAlarm alarm) {
-        effects.add(new RelayEffect.Raised(alarm));
+        effects.add(new RelayEffect.AlarmRaised(alarm));
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayEffect.java
@@ -62,5 +62,5 @@
      *
      * @param alarm what it is
      */
-    record Raised(RelayAlarm alarm) implements RelayEffect {}
+    record AlarmRaised(RelayAlarm alarm) implements RelayEffect {}
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
@@ -151,7 +151,7 @@
                 wire.send(node, SimulatedNetwork.node(send.to()), bytes, false);
             } else if (effect instanceof RelayEffect.InForce changed) {
                 inForce.get(node).add(changed.content().number());
-            } else if (effect instanceof RelayEffect.Raised raised) {
+            } else if (effect instanceof RelayEffect.AlarmRaised raised) {
                 alarms.add(raised.alarm());
             } else if (!(effect instanceof RelayEffect.Advanced || effect instanceof RelayEffect.Refused)) {
                 reads++;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
@@ -108,7 +108,7 @@
         } else if (effect instanceof RelayEffect.Refused refused) {
             String cause = "refused: " + summary(refused.findings());
             audit.add(AuditEvent.Kind.CONFIGURATION, Long.toString(refused.number()), cause, "", "");
-        } else if (effect instanceof RelayEffect.Raised raised) {
+        } else if (effect instanceof RelayEffect.AlarmRaised raised) {
             LOG.error("configuration alarm " + raised.alarm());
             audit.add(AuditEvent.Kind.CONFIGURATION, "alarm", raised.alarm().toString(), "", "");
         }
