--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationRelay.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationRelay.java
@@ -275,7 +275,7 @@
         if (changed) {
             announced.content().ifPresent(content -> effects.add(new RelayEffect.InForce(content)));
         }
-        effects.add(new RelayEffect.Advanced(announced.position(), announced.digest()));
+        effects.add(new RelayEffect.PositionAdvanced(announced.position(), announced.digest()));
         roundsLeft = settings.announceRounds();
         nextRoundNanos = nowNanos;
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayEffect.java
@@ -47,7 +47,7 @@
      * @param position the last decided entry
      * @param digest of what is in force
      */
-    record Advanced(long position, long digest) implements RelayEffect {}
+    record PositionAdvanced(long position, long digest) implements RelayEffect {}
 
     /**
      * An entry was refused.
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
@@ -184,7 +184,7 @@
     private void relayTold(RelayEffect effect) {
         if (effect instanceof RelayEffect.InForce changed) {
             number = changed.content().number();
-        } else if (effect instanceof RelayEffect.Advanced advanced) {
+        } else if (effect instanceof RelayEffect.PositionAdvanced advanced) {
             payload = payload.withConfiguration(advanced.position(), advanced.digest());
             membershipDriver.handle(new MembershipEvent.PayloadChanged(payload));
         } else {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
@@ -153,7 +153,7 @@
                 inForce.get(node).add(changed.content().number());
             } else if (effect instanceof RelayEffect.AlarmRaised raised) {
                 alarms.add(raised.alarm());
-            } else if (!(effect instanceof RelayEffect.Advanced || effect instanceof RelayEffect.Refused)) {
+            } else if (!(effect instanceof RelayEffect.PositionAdvanced || effect instanceof RelayEffect.Refused)) {
                 reads++;
                 long wait = effect instanceof RelayEffect.Watch ? WATCH_NANOS : READ_NANOS;
                 pending.add(new Read(node, relay, effect, wire.nowNanos() + wait));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
@@ -103,7 +103,7 @@
     private void told(RelayEffect effect) {
         if (effect instanceof RelayEffect.InForce inForce) {
             store.offer(folder.configuration(inForce.content()), "published");
-        } else if (effect instanceof RelayEffect.Advanced advanced) {
+        } else if (effect instanceof RelayEffect.PositionAdvanced advanced) {
             peers.publishConfiguration(advanced.position(), advanced.digest());
         } else if (effect instanceof RelayEffect.Refused refused) {
             String cause = "refused: " + summary(refused.findings());
