--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelaySettings.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelaySettings.java
@@ -80,7 +80,7 @@
      * @param burst reads that may come at once
      * @return the changed settings
      */
-    public RelaySettings withReads(double perSecond, double burst) {
+    public RelaySettings withReadRate(double perSecond, double burst) {
         return new RelaySettings(
                 fanOut,
                 announceRounds,
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
@@ -70,7 +70,7 @@
         store = kernel.find(ConfigurationStore.NAME);
         audit = kernel.find(AuditTrail.NAME);
         peers = kernel.find(Peers.NAME);
-        RelaySettings settings = RelaySettings.STANDARD.withReads(readsPerSecond, 2 * readsPerSecond);
+        RelaySettings settings = RelaySettings.STANDARD.withReadRate(readsPerSecond, 2 * readsPerSecond);
         ConfigurationRelay relay =
                 new ConfigurationRelay(folder, settings, RandomGenerator.getDefault(), System.nanoTime());
         driver = new ConfigurationDriver(peers.transport(), relay, this::carryOut);
