--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
@@ -62,7 +62,7 @@
      *
      * @param inForce what it says of this cell
      */
-    public void goal(CellGoal inForce) {
+    public void updateGoal(CellGoal inForce) {
         if (goal != null && inForce.number() <= goal.number()) {
             return;
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
@@ -118,7 +118,7 @@
 
         void learns(long number) {
             known = Math.max(known, number);
-            issuer.goal(goal(number));
+            issuer.updateGoal(goal(number));
         }
 
         private void perform(List<OrderEffect> effects) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
@@ -62,7 +62,7 @@
     /** Two hundred workers start empty. Without pacing the weight store would refuse most of their loads. */
     @Test
     void loadsAreSpacedAndBounded() {
-        issuer.goal(goal(7, true, 0, "a", "b", "c", "d"));
+        issuer.updateGoal(goal(7, true, 0, "a", "b", "c", "d"));
         issuer.owner(true, 0);
         int loads = 0;
         for (long now = 1; now <= 1_000; now++) {
@@ -93,7 +93,7 @@
     /** The only copy can't be changed without leaving none. The operators must hear that the roll stands still. */
     @Test
     void aRollThatWouldLeaveTooFewCopiesIsReported() {
-        issuer.goal(goal(7, true, 1, "a"));
+        issuer.updateGoal(goal(7, true, 1, "a"));
         issuer.owner(true, 0);
         issuer.confirmed(7, 10);
         issuer.report(state("a", OLD, 10));
@@ -111,7 +111,7 @@
         TreeMap<String, WorkerGoal> workers = new TreeMap<>();
         workers.put("a", new WorkerGoal("", new TreeSet<>(List.of(OLD)), 1));
 
-        issuer.goal(new CellGoal(8, workers, Map.of(), true));
+        issuer.updateGoal(new CellGoal(8, workers, Map.of(), true));
 
         assertThat(issuer.advance(30)).containsExactly(new OrderEffect.Resume("a", OLD));
     }
@@ -131,7 +131,7 @@
     }
 
     private void owns(boolean checksFences) {
-        issuer.goal(goal(7, checksFences, 0, "a"));
+        issuer.updateGoal(goal(7, checksFences, 0, "a"));
         issuer.owner(true, checksFences ? -SETTINGS.settleNanos() : 0);
         issuer.confirmed(7, 10);
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
@@ -71,7 +71,7 @@
         SortedMap<String, WorkerGoal> goals = new TreeMap<>();
         workers.forEach(worker -> goals.put(worker, new WorkerGoal("", versions, versions.size() + SLOTS - 1)));
         boolean checked = upstream.fencing() == Upstream.Fencing.CHECKED;
-        issuer.goal(new CellGoal(configuration.number(), goals, minServing, checked));
+        issuer.updateGoal(new CellGoal(configuration.number(), goals, minServing, checked));
     }
 
     void report(EngineState state) {
