--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
@@ -87,7 +87,7 @@
      * @param number the number
      * @param askedNanos when the question was sent, on this daemon's clock
      */
-    public void confirmed(long number, long askedNanos) {
+    public void confirmNumber(long number, long askedNanos) {
         heard(number);
         confirmedNanos = Math.max(confirmedNanos, askedNanos);
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
@@ -101,7 +101,7 @@
             long asked = now;
             send(peer, () -> {
                 long answer = peer.known;
-                peer.send(this, () -> issuer.confirmed(answer, asked));
+                peer.send(this, () -> issuer.confirmNumber(answer, asked));
             });
         }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
@@ -26,11 +26,11 @@
         Order order = unload(issuer.advance(20), 20);
         assertThat(issuer.mayWrite(order, 30)).isTrue();
 
-        issuer.confirmed(7, 40);
+        issuer.confirmNumber(7, 40);
         assertThat(issuer.mayWrite(order, 900)).isFalse();
         assertThat(issuer.advance(900)).isEmpty();
 
-        issuer.confirmed(7, 890);
+        issuer.confirmNumber(7, 890);
         assertThat(issuer.mayWrite(order, 900)).isTrue();
     }
 
@@ -52,7 +52,7 @@
     void whereEnginesCheckNoFenceANewOwnerWaitsOutTheSettleTime() {
         owns(false);
         issuer.report(state("a", OLD, 10));
-        issuer.confirmed(7, 499);
+        issuer.confirmNumber(7, 499);
         assertThat(issuer.advance(499)).isEmpty();
 
         issuer.report(state("a", OLD, 500));
@@ -66,7 +66,7 @@
         issuer.owner(true, 0);
         int loads = 0;
         for (long now = 1; now <= 1_000; now++) {
-            issuer.confirmed(7, now);
+            issuer.confirmNumber(7, now);
             for (String worker : List.of("a", "b", "c", "d")) {
                 issuer.report(new EngineState(worker, Fence.NONE, new TreeSet<>(), "", now));
             }
@@ -95,7 +95,7 @@
     void aRollThatWouldLeaveTooFewCopiesIsReported() {
         issuer.updateGoal(goal(7, true, 1, "a"));
         issuer.owner(true, 0);
-        issuer.confirmed(7, 10);
+        issuer.confirmNumber(7, 10);
         issuer.report(state("a", OLD, 10));
 
         assertThat(issuer.advance(20)).containsExactly(new OrderEffect.Blocked(List.of("a")));
@@ -133,7 +133,7 @@
     private void owns(boolean checksFences) {
         issuer.updateGoal(goal(7, checksFences, 0, "a"));
         issuer.owner(true, checksFences ? -SETTINGS.settleNanos() : 0);
-        issuer.confirmed(7, 10);
+        issuer.confirmNumber(7, 10);
     }
 
     private Order unload(List<OrderEffect> effects, long now) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
@@ -87,7 +87,7 @@
     }
 
     private void confirmed(long number, long askedNanos) {
-        cells.values().forEach(cell -> cell.issuer().confirmed(number, askedNanos));
+        cells.values().forEach(cell -> cell.issuer().confirmNumber(number, askedNanos));
     }
 
     private void report(String cell, EngineState state) {
