--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
@@ -98,7 +98,7 @@
      * @param owner whether it does
      * @param nowNanos the time
      */
-    public void owner(boolean owner, long nowNanos) {
+    public void setOwner(boolean owner, long nowNanos) {
         if (!owner) {
             ownerSinceNanos = NEVER;
             underWay.clear();
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
@@ -186,7 +186,7 @@
         for (Issuer issuer : issuers) {
             issuer.owns = now >= issuer.pausedUntil && !owned[issuer.side];
             owned[issuer.side] |= issuer.owns;
-            later(400 * MILLI, () -> issuer.deliver(() -> issuer.issuer.owner(issuer.owns, now)));
+            later(400 * MILLI, () -> issuer.deliver(() -> issuer.issuer.setOwner(issuer.owns, now)));
         }
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
@@ -63,7 +63,7 @@
     @Test
     void loadsAreSpacedAndBounded() {
         issuer.updateGoal(goal(7, true, 0, "a", "b", "c", "d"));
-        issuer.owner(true, 0);
+        issuer.setOwner(true, 0);
         int loads = 0;
         for (long now = 1; now <= 1_000; now++) {
             issuer.confirmNumber(7, now);
@@ -94,7 +94,7 @@
     @Test
     void aRollThatWouldLeaveTooFewCopiesIsReported() {
         issuer.updateGoal(goal(7, true, 1, "a"));
-        issuer.owner(true, 0);
+        issuer.setOwner(true, 0);
         issuer.confirmNumber(7, 10);
         issuer.report(state("a", OLD, 10));
 
@@ -132,7 +132,7 @@
 
     private void owns(boolean checksFences) {
         issuer.updateGoal(goal(7, checksFences, 0, "a"));
-        issuer.owner(true, checksFences ? -SETTINGS.settleNanos() : 0);
+        issuer.setOwner(true, checksFences ? -SETTINGS.settleNanos() : 0);
         issuer.confirmNumber(7, 10);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
@@ -112,7 +112,7 @@
         }
         cells.forEach((key, cell) -> {
             if (!owned.contains(key)) {
-                cell.issuer().owner(false, loop.nowNanos());
+                cell.issuer().setOwner(false, loop.nowNanos());
             }
         });
     }
@@ -123,7 +123,7 @@
                 cell.key(),
                 key -> new CellOrders(
                         cell.upstream(), grants.cellsOf(cell.upstream().name())));
-        orders.issuer().owner(true, nowNanos);
+        orders.issuer().setOwner(true, nowNanos);
         orders.goal(configuration, cell.upstream(), cell.workers().keySet());
         long lastGrant = grants.lastGrant(cell.key());
         orders.take(orders.issuer().advance(nowNanos), lastGrant).forEach(order -> write(cell, orders, order));
