--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderEffect.java
@@ -6,7 +6,7 @@
 public sealed interface OrderEffect {
     /**
      * Stop sending new work for a version to a worker, let what runs there end, then call
-     * {@link OrderIssuer#drained}.
+     * {@link OrderIssuer#completeDrain}.
      *
      * @param worker the worker's name
      * @param version the version that will be unloaded
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
@@ -137,7 +137,7 @@
      * @param nowNanos the time
      * @return what to do
      */
-    public List<OrderEffect> drained(String worker, ModelVersion version, long nowNanos) {
+    public List<OrderEffect> completeDrain(String worker, ModelVersion version, long nowNanos) {
         UnderWay waiting = underWay.get(worker);
         OrderAction unload = new OrderAction.Unload(version);
         if (waiting == null || !waiting.order.action().equals(unload)) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
@@ -126,7 +126,7 @@
                 if (effect instanceof OrderEffect.Drain drain) {
                     later(
                             100 * MILLI,
-                            () -> deliver(() -> perform(issuer.drained(drain.worker(), drain.version(), now))));
+                            () -> deliver(() -> perform(issuer.completeDrain(drain.worker(), drain.version(), now))));
                 } else if (effect instanceof OrderEffect.Issue issue) {
                     later(200 * MILLI, () -> deliver(() -> write(issue.order())));
                 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
@@ -138,7 +138,7 @@
 
     private Order unload(List<OrderEffect> effects, long now) {
         assertThat(effects).containsExactly(new OrderEffect.Drain("a", OLD));
-        return ((OrderEffect.Issue) issuer.drained("a", OLD, now).get(0)).order();
+        return ((OrderEffect.Issue) issuer.completeDrain("a", OLD, now).get(0)).order();
     }
 
     private static EngineState state(String worker, ModelVersion loaded, long now) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
@@ -114,7 +114,8 @@
         for (Map.Entry<String, Draining> each : Map.copyOf(draining).entrySet()) {
             if (!cell.hasGrantUpTo(each.getKey(), each.getValue().mark())) {
                 draining.remove(each.getKey());
-                orders.addAll(take(issuer.drained(each.getKey(), each.getValue().version(), nowNanos), 0));
+                orders.addAll(
+                        take(issuer.completeDrain(each.getKey(), each.getValue().version(), nowNanos), 0));
             }
         }
         return orders;
