--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderEffect.java
@@ -23,7 +23,7 @@
 
     /**
      * Send an order. Call {@link OrderIssuer#mayWrite} right before it is written, and
-     * {@link OrderIssuer#answered} after.
+     * {@link OrderIssuer#handleAnswer} after.
      *
      * @param order the order
      */
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
@@ -170,7 +170,7 @@
      * @param answer what came of it
      * @param nowNanos the time
      */
-    public void answered(Order order, OrderAnswer answer, long nowNanos) {
+    public void handleAnswer(Order order, OrderAnswer answer, long nowNanos) {
         if (answer instanceof OrderAnswer.Fenced fenced) {
             heard(fenced.highest().number());
             fences.merge(order.worker(), fenced.highest(), OrderIssuer::higher);
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
@@ -135,14 +135,14 @@
 
         private void write(Order order) {
             if (!issuer.mayWrite(order, now)) {
-                issuer.answered(order, new OrderAnswer.NotWritten(), now);
+                issuer.handleAnswer(order, new OrderAnswer.NotWritten(), now);
                 return;
             }
             noHigherNumberCouldBeHeard(this, order.fence().number());
             writes.add(new Write(this, order.fence().number(), now));
             later(100 * MILLI, () -> {
                 OrderAnswer answer = arrives(order);
-                later(100 * MILLI, () -> deliver(() -> issuer.answered(order, answer, now)));
+                later(100 * MILLI, () -> deliver(() -> issuer.handleAnswer(order, answer, now)));
             });
         }
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
@@ -123,7 +123,7 @@
         issuer.report(state("a", OLD, 10));
         Order order = unload(issuer.advance(20), 20);
 
-        issuer.answered(order, new OrderAnswer.Fenced(new Fence(7, 9)), 30);
+        issuer.handleAnswer(order, new OrderAnswer.Fenced(new Fence(7, 9)), 30);
         assertThat(issuer.advance(40)).containsExactly(new OrderEffect.Resume("a", OLD));
         issuer.report(state("a", OLD, 50));
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
@@ -127,7 +127,7 @@
     }
 
     void answered(Order order, OrderAnswer answer, long nowNanos) {
-        issuer.answered(order, answer, nowNanos);
+        issuer.handleAnswer(order, answer, nowNanos);
     }
 
     static String describe(OrderAction action) {
