--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
@@ -288,7 +288,7 @@
         if (goal == null || ownerSinceNanos == NEVER || goal.number() < highestHeard) {
             return false;
         }
-        if (confirmedNanos == NEVER || nowNanos - confirmedNanos > settings.freshNanos()) {
+        if (confirmedNanos == NEVER || nowNanos - confirmedNanos > settings.maxConfirmationAgeNanos()) {
             return false;
         }
         // Where engines take any order, the old owner's last ones must have arrived and shown in the reports before the
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderSettings.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderSettings.java
@@ -3,7 +3,7 @@
 /**
  * Times and bounds of an issuer, in nanoseconds where they are times.
  *
- * @param freshNanos how long after a peer's confirmation the issuer counts as having heard recently
+ * @param maxConfirmationAgeNanos how long after a peer's confirmation the issuer counts as having heard recently
  * @param settleNanos how long a new owner waits before it unloads anything, and where engines don't check fencing
  *     numbers before any order; longer than the old owner needs to learn that it no longer owns the cell, and than
  *     reports lag
@@ -14,7 +14,7 @@
  * @param maxLoading how many loads may be under way in this cell
  */
 public record OrderSettings(
-        long freshNanos,
+        long maxConfirmationAgeNanos,
         long settleNanos,
         long staleReportNanos,
         long effectNanos,
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
@@ -242,7 +242,7 @@
 
     /** A number that another issuer wrote long enough ago, while neither was paused or cut off, has been heard. */
     private void noHigherNumberCouldBeHeard(Issuer by, long number) {
-        long longEnough = SETTINGS.freshNanos() + 400 * MILLI;
+        long longEnough = SETTINGS.maxConfirmationAgeNanos() + 400 * MILLI;
         for (Write write : writes) {
             boolean inReach = Math.max(by.aloneOrPausedAt, write.by().aloneOrPausedAt) < write.at();
             if (inReach && now - write.at() > longEnough) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
@@ -46,7 +46,7 @@
         OrderSettings usual = OrderSettings.defaults();
         long interval = NANOS_PER_MINUTE * cells / Math.max(1, upstream.loadsPerMinute());
         this.issuer = new OrderIssuer(new OrderSettings(
-                usual.freshNanos(),
+                usual.maxConfirmationAgeNanos(),
                 usual.settleNanos(),
                 usual.staleReportNanos(),
                 usual.effectNanos(),
