--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
@@ -320,7 +320,7 @@
         Map<String, EngineState> fresh = new HashMap<>(states);
         Set<String> stale = new HashSet<>();
         fresh.forEach((worker, state) -> {
-            if (nowNanos - state.measuredNanos() > settings.staleReportNanos()) {
+            if (nowNanos - state.measuredNanos() > settings.maxReportAgeNanos()) {
                 stale.add(worker);
             }
         });
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderSettings.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderSettings.java
@@ -7,7 +7,7 @@
  * @param settleNanos how long a new owner waits before it unloads anything, and where engines don't check fencing
  *     numbers before any order; longer than the old owner needs to learn that it no longer owns the cell, and than
  *     reports lag
- * @param staleReportNanos how old a report may be to plan from it
+ * @param maxReportAgeNanos how old a report may be to plan from it
  * @param effectNanos how long an accepted order may take to show in the reports before it is given again
  * @param loadIntervalNanos the time from one load to the next in this cell: the weight store's rate, divided among the
  *     cells that share it
@@ -16,7 +16,7 @@
 public record OrderSettings(
         long maxConfirmationAgeNanos,
         long settleNanos,
-        long staleReportNanos,
+        long maxReportAgeNanos,
         long effectNanos,
         long loadIntervalNanos,
         int maxLoading) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
@@ -48,7 +48,7 @@
         this.issuer = new OrderIssuer(new OrderSettings(
                 usual.maxConfirmationAgeNanos(),
                 usual.settleNanos(),
-                usual.staleReportNanos(),
+                usual.maxReportAgeNanos(),
                 usual.effectNanos(),
                 interval,
                 MAX_LOADING));
