--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
@@ -197,7 +197,7 @@
      * @return what to do
      */
     public List<OrderEffect> advance(long nowNanos) {
-        underWay.values().removeIf(order -> nowNanos - order.sinceNanos > settings.effectNanos());
+        underWay.values().removeIf(order -> nowNanos - order.sinceNanos > settings.effectTimeoutNanos());
         List<OrderEffect> effects = new ArrayList<>();
         resume(effects);
         if (!mayIssue(nowNanos)) {
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderSettings.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderSettings.java
@@ -8,7 +8,7 @@
  *     numbers before any order; longer than the old owner needs to learn that it no longer owns the cell, and than
  *     reports lag
  * @param maxReportAgeNanos how old a report may be to plan from it
- * @param effectNanos how long an accepted order may take to show in the reports before it is given again
+ * @param effectTimeoutNanos how long an accepted order may take to show in the reports before it is given again
  * @param loadIntervalNanos the time from one load to the next in this cell: the weight store's rate, divided among the
  *     cells that share it
  * @param maxLoading how many loads may be under way in this cell
@@ -17,7 +17,7 @@
         long maxConfirmationAgeNanos,
         long settleNanos,
         long maxReportAgeNanos,
-        long effectNanos,
+        long effectTimeoutNanos,
         long loadIntervalNanos,
         int maxLoading) {
     private static final long SECOND = 1_000_000_000L;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
@@ -49,7 +49,7 @@
                 usual.maxConfirmationAgeNanos(),
                 usual.settleNanos(),
                 usual.maxReportAgeNanos(),
-                usual.effectNanos(),
+                usual.effectTimeoutNanos(),
                 interval,
                 MAX_LOADING));
     }
