--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationCodec.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationCodec.java
@@ -13,7 +13,7 @@
 import org.dotterelcourse.coordination.configuration.generated.PullProto;
 import org.dotterelcourse.coordination.configuration.generated.SnapshotProto;
 
-/** The relay's messages in protobuf's encoding. */
+/** Encodes and decodes the messages between relays as protobuf. */
 public final class ConfigurationCodec {
 
     private ConfigurationCodec() {}
@@ -21,8 +21,8 @@
     /**
      * Encodes a message.
      *
-     * @param message the message
-     * @return its bytes
+     * @param message the message to send
+     * @return the serialized {@code ConfigurationProto}
      */
     public static byte[] encode(ConfigurationMessage message) {
         ConfigurationProto.Builder proto = ConfigurationProto.newBuilder();
@@ -44,8 +44,8 @@
     /**
      * Decodes a message.
      *
-     * @param bytes the encoded message
-     * @return the message, or empty when the bytes are no valid one
+     * @param bytes a serialized {@code ConfigurationProto}, as received from a peer
+     * @return the message, or empty if the bytes are malformed or of an unknown kind
      */
     public static Optional<ConfigurationMessage> decode(byte[] bytes) {
         try {
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationDriver.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationDriver.java
@@ -14,28 +14,28 @@
 import org.dotterelcourse.coordination.transport.PeerTransport;
 
 /**
- * Runs a {@link ConfigurationRelay} on a {@link PeerTransport}, beside a membership. Reads of the service and all news
- * go to the listener; the embedder reads and hands the answers back with {@link #submit}. Everything happens on the
- * transport's thread.
+ * Connects a {@link ConfigurationRelay} to a {@link PeerTransport} and to the changes of the membership. Messages to
+ * peers are sent by this class; all other effects, such as reads of the configuration service, go to the listener,
+ * which carries out the reads and returns their results with {@link #submit}. All work runs on the transport's thread.
  */
 public final class ConfigurationDriver {
 
-    /** The channel of the relay's messages. */
+    /** The transport channel for messages between relays. */
     public static final String CHANNEL = "configuration";
 
-    /** Readers of the service in each data centre: one more than one that may just have failed. */
-    public static final int READERS = 2;
+    /** Readers of the configuration service in each data centre. With two, one is left when the other fails. */
+    public static final int READERS_PER_DATA_CENTRE = 2;
 
     private final PeerTransport transport;
     private final ConfigurationRelay relay;
     private final Consumer<RelayEffect> listener;
 
     /**
-     * Binds a relay to a transport that has been started.
+     * Creates a driver that does nothing until {@link #start} is called.
      *
-     * @param transport the transport
-     * @param relay the machine, which nothing else may drive
-     * @param listener hears of all effects other than messages, on the transport's thread
+     * @param transport the started transport to the peers
+     * @param relay the relay to run; nothing else may send events to it
+     * @param listener receives all effects other than messages to peers, on the transport's thread
      */
     public ConfigurationDriver(PeerTransport transport, ConfigurationRelay relay, Consumer<RelayEffect> listener) {
         this.transport = Objects.requireNonNull(transport);
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Starts to tick and to receive.
+     * Starts to receive messages and to send the relay periodic ticks.
      *
      * @param tickNanos period of the ticks in nanoseconds
      */
@@ -54,28 +54,29 @@
     }
 
     /**
-     * Takes the view before anything has changed in it: a process that is alone is the reader, and hears of nobody. Only
-     * on the transport's thread.
+     * Passes the initial membership view to the relay. Without this, a process that is alone would never become a
+     * reader, since it receives no membership changes. To be called on the transport's thread only.
      *
-     * @param self this process
-     * @param members the view, this process included
+     * @param self the identity of this process
+     * @param members the membership view, this process included
      */
     public void membershipStarted(MemberId self, List<Member> members) {
-        handle(roster(self, members));
+        handle(peersChanged(self, members));
     }
 
     /**
-     * Takes what membership told. Only on the transport's thread.
+     * Passes a membership change to the relay: the new set of peers, and the position of the changed member. To be
+     * called on the transport's thread only.
      *
-     * @param effect the effect
-     * @param self this process
-     * @param members the view after the effect, this process included
+     * @param effect the effect of the membership; all but {@link MembershipEffect.MemberChanged} are ignored
+     * @param self the identity of this process
+     * @param members the membership view after the change, this process included
      */
     public void membershipChanged(MembershipEffect effect, MemberId self, List<Member> members) {
         if (effect instanceof MembershipEffect.MemberChanged changed) {
             Member member = changed.member();
             if (!changed.payloadOnly()) {
-                handle(roster(self, members));
+                handle(peersChanged(self, members));
             }
             if (member.name().equals(self.name())) {
                 return;
@@ -88,18 +89,18 @@
     }
 
     /**
-     * Hands an event over from any thread, such as the answer to a read.
+     * Schedules an event for the relay. May be called from any thread.
      *
-     * @param event the event
+     * @param event the event, such as the result of a read
      */
     public void submit(RelayEvent event) {
         transport.execute(() -> handle(event));
     }
 
     /**
-     * Handles an event at once. Only on the transport's thread.
+     * Passes an event to the relay and carries out the effects. To be called on the transport's thread only.
      *
-     * @param event the event
+     * @param event the event to handle
      */
     public void handle(RelayEvent event) {
         for (RelayEffect effect : relay.on(event, System.nanoTime())) {
@@ -112,25 +113,26 @@
     }
 
     /**
-     * The relay's view of the fleet: all that may answer, and whether this process is a reader.
+     * Derives the relay's peers from the membership view: all members that are alive or leaving. Also determines
+     * whether this process is one of the readers of its data centre.
      *
-     * @param self this process
-     * @param members the view, this process included
-     * @return the event
+     * @param self the identity of this process
+     * @param members the membership view, this process included
+     * @return the event for the relay
      */
-    public static RelayEvent.Roster roster(MemberId self, List<Member> members) {
+    public static RelayEvent.PeersChanged peersChanged(MemberId self, List<Member> members) {
         String dataCentre = dataCentre(self, members);
         List<RelayPeer> peers = new ArrayList<>();
         for (Member member : members) {
-            boolean answers = member.state() == MemberState.ALIVE || member.state() == MemberState.LEAVING;
-            if (answers && !member.name().equals(self.name())) {
-                boolean near = member.payload().dataCentre().equals(dataCentre);
-                peers.add(new RelayPeer(member.name(), member.address(), near));
+            boolean reachable = member.state() == MemberState.ALIVE || member.state() == MemberState.LEAVING;
+            if (reachable && !member.name().equals(self.name())) {
+                boolean sameDataCentre = member.payload().dataCentre().equals(dataCentre);
+                peers.add(new RelayPeer(member.name(), member.address(), sameDataCentre));
             }
         }
-        List<Member> readers = new Ownership(members, 0, 0).readers(dataCentre, READERS);
-        boolean reader = readers.stream().anyMatch(member -> member.name().equals(self.name()));
-        return new RelayEvent.Roster(peers, reader);
+        List<Member> readers = new Ownership(members, 0, 0).readers(dataCentre, READERS_PER_DATA_CENTRE);
+        boolean isReader = readers.stream().anyMatch(member -> member.name().equals(self.name()));
+        return new RelayEvent.PeersChanged(peers, isReader);
     }
 
     private static String dataCentre(MemberId self, List<Member> members) {
@@ -143,8 +145,9 @@
     }
 
     /**
-     * Heads go to random peers by datagram: they are small and sent in several rounds, and a connection to each of them
-     * would keep dozens open, with their heartbeats, where one a change is enough.
+     * Sends heads as datagrams and all other messages over connections. Heads are small, repeated in several rounds and
+     * sent to random peers; connections for them would leave dozens open, with their heartbeats, although one
+     * connection for each change is enough.
      */
     private void send(RelayEffect.SendTo send) {
         byte[] body = ConfigurationCodec.encode(send.message());
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationMessage.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationMessage.java
@@ -2,36 +2,36 @@
 
 import java.util.List;
 
-/** A message between two relays. */
+/** A message from one relay to another. */
 public sealed interface ConfigurationMessage {
 
     /**
-     * How far the sender is.
+     * Announces the sender's position.
      *
-     * @param position its last decided entry
-     * @param digest of what it has in force
+     * @param position number of the last entry that the sender accepted or refused, 0 before the first
+     * @param digest digest of the content in force at the sender, 0 if none
      */
     record Head(long position, long digest) implements ConfigurationMessage {}
 
     /**
-     * Asks for what follows.
+     * Requests the entries after a position.
      *
-     * @param after the sender's position
+     * @param after the sender's position, 0 before the first entry
      */
     record Pull(long after) implements ConfigurationMessage {}
 
     /**
-     * Published entries in order.
+     * Carries published entries, in reply to a {@link Pull}.
      *
-     * @param entries without a gap
+     * @param entries entries in ascending order of their numbers, without gaps
      */
     record Entries(List<Entry> entries) implements ConfigurationMessage {}
 
     /**
-     * What the sender has in force.
+     * Carries the content in force at the sender, in reply to a {@link Pull} that its entry log can't serve.
      *
-     * @param position its last decided entry
-     * @param number the number in force
+     * @param position number of the last entry that the sender accepted or refused
+     * @param number number of the last entry that the sender accepted
      * @param bytes the folded document
      */
     record Snapshot(long position, long number, byte[] bytes) implements ConfigurationMessage {}
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationRelay.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ConfigurationRelay.java
@@ -12,17 +12,18 @@
 import org.dotterelcourse.coordination.configuration.ConfigurationMessage.Snapshot;
 
 /**
- * Brings published entries into force in one process, as a state machine. A few readers in each data centre watch the
- * service. Whoever moves on tells a few random peers, and each of them pulls what it lacks: so a body reaches each
- * process about once, in a number of steps that grows with the logarithm of the fleet. Membership's messages carry
- * each member's position, which catches those that no peer told.
+ * State machine that replicates published entries to one process by gossip and applies them. A few readers in each data
+ * centre watch the configuration service. A process that advances announces its position to a few random peers, which
+ * pull the missing entries. Each body thus reaches each process about once, in a number of steps that grows with the
+ * logarithm of the fleet size. Membership messages also carry each member's position, so that a process that received
+ * no announcement still catches up.
  *
- * <p>The position only rises. A service that came back from an old copy, a slow message or a peer that is behind can
- * therefore never take a process back. Not safe for use by several threads.
+ * <p>The position never decreases. A service restored from an old copy, a delayed message or an outdated peer can
+ * therefore never revert a process to older content. Not thread-safe.
  */
 public final class ConfigurationRelay {
 
-    private final EntryReducer folder;
+    private final EntryReducer reducer;
     private final RelaySettings settings;
     private final PeerHeads peers;
     private final ServiceReads reads;
@@ -33,160 +34,161 @@
     private FoldState announced = FoldState.EMPTY;
     private FoldState rebuilt;
     private boolean joined;
-    private boolean joinAsked;
+    private boolean joinPullsSent;
     private String pulledFrom;
     private long pullDeadlineNanos;
-    private long nextRefetchNanos;
-    private int roundsLeft;
-    private long nextRoundNanos;
+    private long nextRebuildNanos;
+    private int announceRoundsLeft;
+    private long nextAnnounceNanos;
 
     /**
-     * A relay that has nothing in force yet.
+     * Creates a relay with no content in force.
      *
-     * @param folder gives the entries their meaning
-     * @param settings times and bounds
-     * @param random used only while an event is handled
-     * @param nowNanos the present time on the monotonic clock
+     * @param reducer folds entries into the content in force
+     * @param settings periods, timeouts and limits
+     * @param random source of randomness for the choice of peers and for jitter; used by the constructor and by
+     *     {@link #on} only
+     * @param nowNanos current monotonic time in nanoseconds
      */
-    public ConfigurationRelay(EntryReducer folder, RelaySettings settings, RandomGenerator random, long nowNanos) {
-        this.folder = folder;
+    public ConfigurationRelay(EntryReducer reducer, RelaySettings settings, RandomGenerator random, long nowNanos) {
+        this.reducer = reducer;
         this.settings = settings;
         this.peers = new PeerHeads(random);
         this.reads = new ServiceReads(settings, random, nowNanos);
-        this.log = new EntryLog(settings.logEntries(), settings.logBytes());
-        this.joinDeadlineNanos = nowNanos + settings.joinWaitNanos();
-        this.nextRefetchNanos = nowNanos;
+        this.log = new EntryLog(settings.maxLogEntries(), settings.maxLogBytes());
+        this.joinDeadlineNanos = nowNanos + settings.joinTimeoutNanos();
+        this.nextRebuildNanos = nowNanos;
     }
 
     /**
      * Handles one event.
      *
-     * @param event what happened
-     * @param nowNanos the time on the monotonic clock
-     * @return what is to be done, in order
+     * @param event the event
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the effects for the embedder to carry out, in order
      */
     public List<RelayEffect> on(RelayEvent event, long nowNanos) {
-        if (event instanceof RelayEvent.Roster roster) {
-            peers.roster(roster.peers());
-            reads.reader(roster.reader());
+        if (event instanceof RelayEvent.PeersChanged changed) {
+            peers.updatePeers(changed.peers());
+            reads.setReader(changed.reader());
         } else if (event instanceof RelayEvent.PeerHead head) {
-            heard(head.peer(), head.position(), head.digest(), nowNanos);
+            recordPeerHead(head.peer(), head.position(), head.digest(), nowNanos);
         } else if (event instanceof RelayEvent.Received received) {
-            receive(received, nowNanos);
+            handleMessage(received, nowNanos);
         } else if (!(event instanceof RelayEvent.Tick)) {
-            answered(event, nowNanos);
+            handleReadResult(event, nowNanos);
         }
-        join(nowNanos);
-        announce(nowNanos);
-        tellPeers(nowNanos);
-        pull(nowNanos);
-        reads.next(state, rebuilt, peers.rosterSize() + 1, nowNanos).ifPresent(effects::add);
-        List<RelayEffect> done = effects;
+        updateJoined(nowNanos);
+        announceState(nowNanos);
+        announceToPeers(nowNanos);
+        pullIfBehind(nowNanos);
+        reads.nextRead(state, rebuilt, peers.peerCount() + 1, nowNanos).ifPresent(effects::add);
+        List<RelayEffect> result = effects;
         effects = new ArrayList<>();
-        return done;
+        return result;
     }
 
     /**
-     * What is in force in this process.
+     * The content in force in this process, as last reported by {@link RelayEffect.InForce}.
      *
-     * @return number and document, empty before the first
+     * @return the content, or empty before the first document
      */
     public Optional<Content> inForce() {
         return announced.content();
     }
 
     /**
-     * The last decided entry, refused ones included.
+     * The number of the last entry that this process accepted or refused, as last announced.
      *
-     * @return the position, 0 before the first
+     * @return the position, 0 before the first entry
      */
     public long position() {
         return announced.position();
     }
 
-    private void receive(RelayEvent.Received received, long nowNanos) {
+    private void handleMessage(RelayEvent.Received received, long nowNanos) {
         ConfigurationMessage message = received.message();
         if (message instanceof Head head) {
-            heard(received.peer(), head.position(), head.digest(), nowNanos);
+            recordPeerHead(received.peer(), head.position(), head.digest(), nowNanos);
             if (received.peer().equals(pulledFrom)) {
                 pulledFrom = null;
             }
             if (head.position() < announced.position()) {
                 send(received.from(), new Head(announced.position(), announced.digest()));
             }
-        } else if (message instanceof Pull wanted) {
-            give(received.from(), wanted.after());
-            peers.note(received.peer(), announced.position());
-        } else if (message instanceof Entries given) {
+        } else if (message instanceof Pull pull) {
+            reply(received.from(), pull.after());
+            peers.recordPosition(received.peer(), announced.position());
+        } else if (message instanceof Entries batch) {
             pulledFrom = null;
-            for (Entry entry : given.entries()) {
-                peers.note(received.peer(), entry.number());
-                offer(entry);
+            for (Entry entry : batch.entries()) {
+                peers.recordPosition(received.peer(), entry.number());
+                applyEntry(entry);
             }
         } else if (message instanceof Snapshot snapshot) {
             pulledFrom = null;
-            peers.note(received.peer(), snapshot.position());
-            adopt(snapshot);
+            peers.recordPosition(received.peer(), snapshot.position());
+            adoptSnapshot(snapshot);
         }
     }
 
-    private void answered(RelayEvent event, long nowNanos) {
+    private void handleReadResult(RelayEvent event, long nowNanos) {
         if (event instanceof RelayEvent.HeadRead read) {
-            reads.succeeded();
-            if (reads.noteHead(read.head())) {
+            reads.recordSuccess();
+            if (reads.recordHead(read.head())) {
                 raise(new RelayAlarm.ServiceBehind(state.position(), read.head()));
             }
         } else if (event instanceof RelayEvent.EntryRead read) {
-            reads.succeeded();
-            entryRead(read.entry());
+            reads.recordSuccess();
+            handleEntryRead(read.entry());
         } else if (event instanceof RelayEvent.WatchEnded) {
-            reads.succeeded();
+            reads.recordSuccess();
         } else if (event instanceof RelayEvent.EntryMissing) {
             rebuilt = null;
-            reads.missing(nowNanos);
+            reads.recordMissingEntry(nowNanos);
         } else if (event instanceof RelayEvent.ReadFailed failed) {
-            reads.failed(failed.retryAfterNanos(), nowNanos);
+            reads.recordFailure(failed.retryAfterNanos(), nowNanos);
         }
     }
 
-    private void entryRead(Entry entry) {
+    private void handleEntryRead(Entry entry) {
         if (rebuilt != null) {
             rebuild(entry);
             return;
         }
-        long before = state.position();
-        offer(entry);
-        if (entry.whole() && state.position() == before) {
-            reads.wholeUseless();
+        long positionBefore = state.position();
+        applyEntry(entry);
+        if (entry.whole() && state.position() == positionBefore) {
+            reads.markWholeUnusable();
         }
     }
 
-    private void offer(Entry entry) {
-        if (!state.takes(entry)) {
+    private void applyEntry(Entry entry) {
+        if (!state.canApply(entry)) {
             return;
         }
-        FoldState.Step step = state.next(folder, entry);
-        if (!step.findings().isEmpty()) {
-            effects.add(new RelayEffect.Refused(entry.number(), step.findings()));
+        FoldState.Transition transition = state.apply(reducer, entry);
+        if (!transition.findings().isEmpty()) {
+            effects.add(new RelayEffect.Refused(entry.number(), transition.findings()));
         }
-        if (step.state().position() == entry.number()) {
+        if (transition.state().position() == entry.number()) {
             log.add(entry);
-            state = step.state();
-            reads.advanced();
+            state = transition.state();
+            reads.recordProgress();
         }
     }
 
-    private void adopt(Snapshot snapshot) {
+    private void adoptSnapshot(Snapshot snapshot) {
         if (snapshot.position() <= state.position() || snapshot.number() < state.number()) {
             return;
         }
         state = new FoldState(snapshot.position(), Optional.of(Content.of(snapshot.number(), snapshot.bytes())));
         log.clear();
-        reads.advanced();
+        reads.recordProgress();
     }
 
-    private void give(InetSocketAddress to, long after) {
-        List<Entry> entries = log.after(after);
+    private void reply(InetSocketAddress to, long after) {
+        List<Entry> entries = log.entriesAfter(after);
         if (after >= announced.position() || announced.content().isEmpty()) {
             send(to, new Head(announced.position(), announced.digest()));
         } else if (entries.isEmpty() || after == 0 && !entries.get(0).whole()) {
@@ -197,37 +199,38 @@
         }
     }
 
-    private void heard(String peer, long position, long digest, long nowNanos) {
-        peers.note(peer, position);
+    private void recordPeerHead(String peer, long position, long digest, long nowNanos) {
+        peers.recordPosition(peer, position);
         boolean comparable = position > 0 && position == announced.position() && state == announced;
-        if (comparable && digest != announced.digest() && nowNanos - nextRefetchNanos >= 0) {
-            nextRefetchNanos = nowNanos + settings.refetchNanos();
+        if (comparable && digest != announced.digest() && nowNanos - nextRebuildNanos >= 0) {
+            nextRebuildNanos = nowNanos + settings.refetchIntervalNanos();
             raise(new RelayAlarm.DigestMismatch(position, peer, announced.digest(), digest));
             rebuilt = FoldState.EMPTY;
         }
     }
 
     /**
-     * Folds the service's entries anew beside what is in force. Two results for one position mean that a process was
-     * given another entry under the same number, or that a fold went wrong; which of the two is wrong can't be told
-     * from the digests, so both read again and the service's present entries decide.
+     * Folds the entries of the service again, separately from the content in force. Different digests at one position
+     * mean that a process was given another entry under the same number, or that a fold went wrong. The digests don't
+     * show which process is wrong, so both read the entries again, and the result of the service's current entries is
+     * used.
      */
     private void rebuild(Entry entry) {
-        if (!rebuilt.takes(entry)) {
+        if (!rebuilt.canApply(entry)) {
             rebuilt = null;
             return;
         }
         FoldState before = rebuilt;
-        rebuilt = rebuilt.next(folder, entry).state();
+        rebuilt = rebuilt.apply(reducer, entry).state();
         if (rebuilt.position() == before.position()) {
             rebuilt = null;
         } else if (rebuilt.position() >= state.position()) {
-            replace(rebuilt);
+            replaceState(rebuilt);
             rebuilt = null;
         }
     }
 
-    private void replace(FoldState read) {
+    private void replaceState(FoldState read) {
         if (read.number() < state.number()) {
             raise(new RelayAlarm.Contradicted(state.number(), read.number()));
             return;
@@ -241,32 +244,33 @@
     }
 
     /**
-     * A new process that took the first document it was given could put an older one in force than the fleet has, when
-     * the service is stale. It waits until it has heard of a few peers and has caught up with the highest of them, or
-     * until the wait is over, as when it is the first of the fleet.
+     * Decides whether a new process may put content in force. If it used the first document that it receives from a
+     * stale service, it could run an older configuration than the fleet. It therefore waits until it knows the
+     * positions of a few peers and has reached the highest of them. The wait ends at the join deadline, which the first
+     * process of a fleet always reaches.
      */
-    private void join(long nowNanos) {
+    private void updateJoined(long nowNanos) {
         if (joined) {
             return;
         }
-        askToJoin();
-        int needed = Math.min(settings.joinPeers(), peers.rosterSize());
-        boolean heardPeers = needed > 0 && peers.established() >= needed;
-        boolean caughtUp = state.position() > 0 && state.position() >= peers.highest();
-        joined = heardPeers && caughtUp || nowNanos - joinDeadlineNanos >= 0;
+        sendJoinPulls();
+        int neededPeers = Math.min(settings.joinPeers(), peers.peerCount());
+        boolean enoughPeers = neededPeers > 0 && peers.countEstablished() >= neededPeers;
+        boolean caughtUp = state.position() > 0 && state.position() >= peers.highestPosition();
+        joined = enoughPeers && caughtUp || nowNanos - joinDeadlineNanos >= 0;
     }
 
-    private void askToJoin() {
-        if (joinAsked || peers.rosterSize() == 0) {
+    private void sendJoinPulls() {
+        if (joinPullsSent || peers.peerCount() == 0) {
             return;
         }
-        joinAsked = true;
-        for (RelayPeer peer : peers.pick(settings.joinPeers(), Long.MAX_VALUE)) {
+        joinPullsSent = true;
+        for (RelayPeer peer : peers.pickBehind(settings.joinPeers(), Long.MAX_VALUE)) {
             send(peer.address(), new Pull(0));
         }
     }
 
-    private void announce(long nowNanos) {
+    private void announceState(long nowNanos) {
         if (!joined || state == announced) {
             return;
         }
@@ -276,34 +280,34 @@
             announced.content().ifPresent(content -> effects.add(new RelayEffect.InForce(content)));
         }
         effects.add(new RelayEffect.PositionAdvanced(announced.position(), announced.digest()));
-        roundsLeft = settings.announceRounds();
-        nextRoundNanos = nowNanos;
+        announceRoundsLeft = settings.announceRounds();
+        nextAnnounceNanos = nowNanos;
     }
 
     /**
-     * With one round alone, one process in fifty is told by nobody and would have the change seconds later than its
-     * callers expect.
+     * Announces the position to random peers, in several rounds. With a single round, one process in fifty receives no
+     * announcement and applies the change seconds later than its callers expect.
      */
-    private void tellPeers(long nowNanos) {
-        if (roundsLeft == 0 || nowNanos - nextRoundNanos < 0) {
+    private void announceToPeers(long nowNanos) {
+        if (announceRoundsLeft == 0 || nowNanos - nextAnnounceNanos < 0) {
             return;
         }
-        roundsLeft--;
-        nextRoundNanos = nowNanos + settings.announcePeriodNanos();
-        for (RelayPeer peer : peers.pick(settings.fanOut(), announced.position())) {
+        announceRoundsLeft--;
+        nextAnnounceNanos = nowNanos + settings.announcePeriodNanos();
+        for (RelayPeer peer : peers.pickBehind(settings.fanOut(), announced.position())) {
             send(peer.address(), new Head(announced.position(), announced.digest()));
         }
     }
 
-    private void pull(long nowNanos) {
+    private void pullIfBehind(long nowNanos) {
         if (pulledFrom != null && nowNanos - pullDeadlineNanos < 0) {
             return;
         }
         if (pulledFrom != null) {
-            peers.forget(pulledFrom);
+            peers.forgetPosition(pulledFrom);
             pulledFrom = null;
         }
-        RelayPeer ahead = peers.ahead(state.position());
+        RelayPeer ahead = peers.findAhead(state.position());
         if (ahead != null) {
             pulledFrom = ahead.name();
             pullDeadlineNanos = nowNanos + settings.pullTimeoutNanos();
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/Content.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/Content.java
@@ -3,19 +3,19 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * What is in force: the result of folding all accepted entries.
+ * The content in force: the result of folding all accepted entries.
  *
- * @param number the last accepted entry
- * @param bytes the folded document; not to be changed
- * @param digest over number and bytes
+ * @param number number of the last accepted entry
+ * @param bytes the folded document; must not be modified
+ * @param digest 64-bit hash (komihash) of number and bytes
  */
 public record Content(long number, byte[] bytes, long digest) {
 
     /**
-     * Content with its digest worked out.
+     * Creates a content and computes its digest.
      *
-     * @param number the last accepted entry
-     * @param bytes the folded document
+     * @param number number of the last accepted entry
+     * @param bytes the folded document; must not be modified afterwards
      * @return the content
      */
     public static Content of(long number, byte[] bytes) {
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/EntryLog.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/EntryLog.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.List;
 
-/** The last entries without a gap, bounded in number and bytes, for peers that are a little behind. */
+/** Bounded log of the most recent consecutive entries, from which peers that lag by a few entries are served. */
 final class EntryLog {
 
     private static final int MAX_REPLY_BYTES = 1 << 20;
@@ -37,21 +37,24 @@
         bytes = 0;
     }
 
-    /** Entries from which a process at the position can go on, as many as fit a message; empty when there are none. */
-    List<Entry> after(long position) {
-        List<Entry> found = new ArrayList<>();
-        int size = 0;
+    /**
+     * Returns the entries that a process at the position can apply next, up to the size limit of a reply, but at least
+     * one. Empty if the log holds neither the next entry nor a newer whole document.
+     */
+    List<Entry> entriesAfter(long position) {
+        List<Entry> following = new ArrayList<>();
+        int replyBytes = 0;
         for (Entry entry : entries) {
-            boolean first = entry.number() == position + 1 || entry.whole() && entry.number() > position;
-            if (found.isEmpty() && !first) {
+            boolean applicable = entry.number() == position + 1 || entry.whole() && entry.number() > position;
+            if (following.isEmpty() && !applicable) {
                 continue;
             }
-            size += entry.body().length;
-            if (!found.isEmpty() && size > MAX_REPLY_BYTES) {
+            replyBytes += entry.body().length;
+            if (!following.isEmpty() && replyBytes > MAX_REPLY_BYTES) {
                 break;
             }
-            found.add(entry);
+            following.add(entry);
         }
-        return found;
+        return following;
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/EntryReducer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/EntryReducer.java
@@ -4,37 +4,37 @@
 import java.util.Optional;
 
 /**
- * Folds an entry onto what is in force. It must be a pure function: the same content and entry give the same result in
- * every process and release, whatever the clock, the locale or the process's own settings say. That is what lets
- * processes that never talk to one another agree.
+ * Folds an entry into the content in force. Implementations must be pure functions: the same content and entry must
+ * give the same result in every process and release, independent of the clock, the locale and the settings of the
+ * process. Processes that never communicate agree on the content only because of this.
  */
 @FunctionalInterface
 public interface EntryReducer {
 
     /**
-     * Folds one entry. A patch must be refused when the base that it names is not the number in force. The result for a
-     * whole document must not depend on what is in force, since a new process starts from one.
+     * Folds one entry. A patch must be refused if the base that it names is not the number in force. The result for a
+     * whole document must not depend on the content in force, since a new process starts with a whole document.
      *
-     * @param inForce what is in force, empty before the first document
-     * @param entry the next entry
-     * @return the new content, or findings
+     * @param inForce the content in force, or empty before the first document
+     * @param entry the entry to fold
+     * @return the folded document, or the reasons for the refusal
      */
     Result fold(Optional<Content> inForce, Entry entry);
 
-    /** What became of an entry. */
+    /** The result of folding an entry. */
     sealed interface Result {}
 
     /**
      * The entry is accepted.
      *
-     * @param bytes the folded document
+     * @param bytes the folded document, which replaces the one in force
      */
     record Accepted(byte[] bytes) implements Result {}
 
     /**
-     * The entry is refused; what was in force stays.
+     * The entry is refused; the content in force is unchanged.
      *
-     * @param findings what is wrong, each with its place
+     * @param findings the errors found in the entry, each with its place
      */
     record Refused(List<String> findings) implements Result {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/PeerHeads.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/PeerHeads.java
@@ -10,43 +10,45 @@
 
 import org.dotterelcourse.coordination.Shuffles;
 
-/** How far the peers are by the last that was heard of each; old news costs a pull in vain or a delay, no more. */
+/** The last known position of each peer. An outdated position only causes a useless pull or a delay. */
 final class PeerHeads {
 
     private final RandomGenerator random;
     private final Map<String, Long> positions = new HashMap<>();
-    private List<RelayPeer> roster = List.of();
+    private List<RelayPeer> peers = List.of();
 
     PeerHeads(RandomGenerator random) {
         this.random = random;
     }
 
-    void roster(List<RelayPeer> peers) {
-        roster = List.copyOf(peers);
+    void updatePeers(List<RelayPeer> newPeers) {
+        peers = List.copyOf(newPeers);
         Set<String> names = new HashSet<>();
-        for (RelayPeer peer : peers) {
+        for (RelayPeer peer : newPeers) {
             names.add(peer.name());
         }
         positions.keySet().retainAll(names);
     }
 
-    int rosterSize() {
-        return roster.size();
+    int peerCount() {
+        return peers.size();
     }
 
-    void note(String peer, long position) {
-        if (positions.containsKey(peer) || inRoster(peer)) {
+    void recordPosition(String peer, long position) {
+        if (positions.containsKey(peer) || isPeer(peer)) {
             positions.put(peer, position);
         }
     }
 
-    /** A peer that was said to be ahead but did not answer is not asked again until it is heard of once more. */
-    void forget(String peer) {
+    /**
+     * Removes the position of a peer that did not answer a pull. It is pulled from again once its position is reported.
+     */
+    void forgetPosition(String peer) {
         positions.remove(peer);
     }
 
-    /** Peers that have anything in force. */
-    int established() {
+    /** Counts the peers with a position above 0. */
+    int countEstablished() {
         int count = 0;
         for (long position : positions.values()) {
             if (position > 0) {
@@ -56,7 +58,7 @@
         return count;
     }
 
-    long highest() {
+    long highestPosition() {
         long highest = 0;
         for (long position : positions.values()) {
             highest = Math.max(highest, position);
@@ -64,31 +66,31 @@
         return highest;
     }
 
-    /** Some peer that is ahead, preferably in the same data centre; null when there is none. */
-    RelayPeer ahead(long position) {
-        if (highest() <= position) {
+    /** Returns a random peer above the position, preferably of the same data centre, or null if there is none. */
+    RelayPeer findAhead(long position) {
+        if (highestPosition() <= position) {
             return null;
         }
-        RelayPeer far = null;
-        for (RelayPeer peer : shuffled()) {
+        RelayPeer remote = null;
+        for (RelayPeer peer : shuffledPeers()) {
             if (positions.getOrDefault(peer.name(), 0L) <= position) {
                 continue;
             }
             if (peer.sameDataCentre()) {
                 return peer;
             }
-            far = peer;
+            remote = peer;
         }
-        return far;
+        return remote;
     }
 
     /**
-     * Random peers that are not known to have a position: half of the same data centre, half of any, so that news
-     * crosses data centres in one step.
+     * Picks random peers whose position is lower or unknown. The first half is taken from the same data centre if
+     * possible, the rest from any data centre, so that an announcement reaches other data centres in one step.
      */
-    List<RelayPeer> pick(int count, long position) {
+    List<RelayPeer> pickBehind(int count, long position) {
         List<RelayPeer> picked = new ArrayList<>();
-        List<RelayPeer> shuffled = shuffled();
+        List<RelayPeer> shuffled = shuffledPeers();
         shuffled.removeIf(peer -> positions.getOrDefault(peer.name(), 0L) >= position);
         for (RelayPeer peer : shuffled) {
             if (peer.sameDataCentre() && picked.size() < count / 2) {
@@ -103,14 +105,14 @@
         return picked;
     }
 
-    private List<RelayPeer> shuffled() {
-        List<RelayPeer> shuffled = new ArrayList<>(roster);
+    private List<RelayPeer> shuffledPeers() {
+        List<RelayPeer> shuffled = new ArrayList<>(peers);
         Shuffles.shuffle(shuffled, random);
         return shuffled;
     }
 
-    private boolean inRoster(String name) {
-        for (RelayPeer peer : roster) {
+    private boolean isPeer(String name) {
+        for (RelayPeer peer : peers) {
             if (peer.name().equals(name)) {
                 return true;
             }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayAlarm.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayAlarm.java
@@ -1,38 +1,40 @@
 package org.dotterelcourse.coordination.configuration;
 
-/** What an operator must look at. */
+/** An inconsistency of the configuration that an operator must investigate. Alarms are written out as text. */
 public sealed interface RelayAlarm {
 
     /**
-     * A peer decided the same entries with another result. Both read the service again.
+     * A peer folded the entries up to the same position to a different content. Both read the entries again.
      *
-     * @param position the entry that both decided last
-     * @param peer the peer's name
-     * @param own digest here
-     * @param other digest there
+     * @param position the position of both processes
+     * @param peer name of the peer
+     * @param own digest of the content in force in this process
+     * @param other digest of the content in force at the peer
      */
     record DigestMismatch(long position, String peer, long own, long other) implements RelayAlarm {}
 
     /**
-     * Reading again gave another content, which has replaced the one in force.
+     * Reading the entries again gave a different content, which has replaced the one in force.
      *
-     * @param number the number in force
+     * @param number number of the new content in force
      */
     record Corrected(long number) implements RelayAlarm {}
 
     /**
-     * Reading again gave a lower number in force; it was not taken, since a number never falls.
+     * Reading the entries again gave a content with a lower number. It was discarded, since the number in force never
+     * decreases.
      *
      * @param inForce the number in force
-     * @param read the number that the service's entries lead to
+     * @param read the number that results from the service's entries
      */
     record Contradicted(long inForce, long read) implements RelayAlarm {}
 
     /**
-     * The service is behind the fleet, as after a restart from an old copy. Nothing is taken back.
+     * The service's newest entry is older than the position of this process, as after a restore from an old copy. The
+     * content in force is kept.
      *
-     * @param position the position here
-     * @param head the service's head
+     * @param position the position of this process
+     * @param head number of the newest entry of the service
      */
     record ServiceBehind(long position, long head) implements RelayAlarm {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayEffect.java
@@ -3,49 +3,52 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** What a {@link ConfigurationRelay} wants done, or tells. One read at most is under way at a time. */
+/**
+ * An action requested by a {@link ConfigurationRelay}, or a change that it reports. At most one read of the service is
+ * in flight at a time.
+ */
 public sealed interface RelayEffect {
 
     /**
-     * Watch the service until its head is above a number.
+     * Watch the service until its newest entry is above a number, by a long poll.
      *
-     * @param after the number
+     * @param after the highest entry number that this process has
      */
     record Watch(long after) implements RelayEffect {}
 
-    /** Read the service's head. */
+    /** Read the number of the service's newest entry. */
     record FetchHead() implements RelayEffect {}
 
     /**
-     * Read an entry.
+     * Read one entry from the service.
      *
      * @param number the entry's number
      */
     record Fetch(long number) implements RelayEffect {}
 
-    /** Read the newest whole document. */
+    /** Read the newest entry of the service that is a whole document. */
     record FetchWhole() implements RelayEffect {}
 
     /**
-     * Send a message.
+     * Send a message to a peer.
      *
-     * @param to the peer's port
+     * @param to the peer's IP address and peer port
      * @param message the message
      */
     record SendTo(InetSocketAddress to, ConfigurationMessage message) implements RelayEffect {}
 
     /**
-     * A content is in force from now on. Its number is never below that of the one before.
+     * A content is in force from now on. Its number is never lower than that of the previous one.
      *
-     * @param content number and document
+     * @param content the new content
      */
     record InForce(Content content) implements RelayEffect {}
 
     /**
-     * The position has moved; membership's payload must carry it.
+     * The position or the digest changed; the payload of this process in the membership must be updated.
      *
-     * @param position the last decided entry
-     * @param digest of what is in force
+     * @param position number of the last entry that was accepted or refused
+     * @param digest digest of the content in force, 0 if none
      */
     record PositionAdvanced(long position, long digest) implements RelayEffect {}
 
@@ -53,14 +56,14 @@
      * An entry was refused.
      *
      * @param number the entry's number
-     * @param findings what is wrong with it
+     * @param findings the errors found in the entry
      */
     record Refused(long number, List<String> findings) implements RelayEffect {}
 
     /**
-     * Something that an operator must look at.
+     * An inconsistency was found that an operator must investigate.
      *
-     * @param alarm what it is
+     * @param alarm the inconsistency
      */
     record AlarmRaised(RelayAlarm alarm) implements RelayEffect {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayEvent.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelayEvent.java
@@ -3,62 +3,62 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** What a {@link ConfigurationRelay} reacts to. */
+/** An input of a {@link ConfigurationRelay}. */
 public sealed interface RelayEvent {
 
-    /** Time has passed. */
+    /** A periodic timer event, on which timeouts and pending announcements are checked. */
     record Tick() implements RelayEvent {}
 
     /**
-     * The fleet has changed.
+     * The set of reachable peers or the role of this process changed.
      *
-     * @param peers the others that are neither dead nor suspect
-     * @param reader whether this process is one of its data centre's readers
+     * @param peers the other members that are alive or leaving
+     * @param reader whether this process is one of the readers of its data centre
      */
-    record Roster(List<RelayPeer> peers, boolean reader) implements RelayEvent {}
+    record PeersChanged(List<RelayPeer> peers, boolean reader) implements RelayEvent {}
 
     /**
-     * Membership's messages told how far a peer is.
+     * The membership reported the position of a peer.
      *
      * @param peer the peer's name
-     * @param position its last decided entry
-     * @param digest of what it has in force
+     * @param position number of the last entry that the peer accepted or refused, 0 before the first
+     * @param digest digest of the content in force at the peer, 0 if none
      */
     record PeerHead(String peer, long position, long digest) implements RelayEvent {}
 
     /**
-     * A message has arrived.
+     * A message arrived from a peer.
      *
      * @param peer the sender's name
-     * @param from its peer port
+     * @param from the sender's IP address and peer port
      * @param message the message
      */
     record Received(String peer, InetSocketAddress from, ConfigurationMessage message) implements RelayEvent {}
 
     /**
-     * The service told its head, in answer to a head read or a watch.
+     * A {@link RelayEffect.FetchHead} or {@link RelayEffect.Watch} succeeded.
      *
-     * @param head its newest entry
+     * @param head number of the service's newest entry
      */
     record HeadRead(long head) implements RelayEvent {}
 
-    /** A watch ended without news. */
+    /** A {@link RelayEffect.Watch} ended without a new entry. */
     record WatchEnded() implements RelayEvent {}
 
     /**
-     * The service gave an entry, in answer to a read of one or of the newest whole document.
+     * A {@link RelayEffect.Fetch} or {@link RelayEffect.FetchWhole} succeeded.
      *
-     * @param entry the entry
+     * @param entry the entry read from the service
      */
     record EntryRead(Entry entry) implements RelayEvent {}
 
-    /** The service has no such entry. */
+    /** The service does not have the requested entry. */
     record EntryMissing() implements RelayEvent {}
 
     /**
-     * A read failed.
+     * A read of the service failed.
      *
-     * @param retryAfterNanos when the service said how long to wait, else 0
+     * @param retryAfterNanos minimum wait in nanoseconds that the service asked for, 0 if none
      */
     record ReadFailed(long retryAfterNanos) implements RelayEvent {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelaySettings.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/RelaySettings.java
@@ -1,103 +1,109 @@
 package org.dotterelcourse.coordination.configuration;
 
 /**
- * Times and bounds of the relay.
+ * Periods, timeouts and limits of a {@link ConfigurationRelay}.
  *
- * @param fanOut peers that are told of a new position in each round
- * @param announceRounds rounds of telling; with four peers in each of three rounds, about one process in 160,000 is
- *     told by nobody, and learns of the position by membership's messages
- * @param announcePeriodNanos time between two rounds
- * @param pullTimeoutNanos until another peer is asked
- * @param joinWaitNanos how long a new process waits for peers before it takes what the service gave
- * @param joinPeers how many peers a new process asks
- * @param headPollNanos period at which a process that is no reader checks the service, in a small fleet
- * @param headPollFleet fleet size from which that period grows, so that the fleet's sum of checks does not
- * @param refetchNanos shortest time between two alarms and re-reads because of a digest
- * @param readTimeoutNanos until an unanswered read counts as failed; above the service's watch time
- * @param backoffNanos wait after a failed read; doubles with each further one
- * @param backoffCeilingNanos longest such wait
- * @param readsPerSecond budget of reads of this process
- * @param readBurst reads that may come at once
- * @param wholeGap number of missing entries from which the newest whole document is read instead
- * @param logEntries entries kept for peers
- * @param logBytes bytes of entries kept for peers
+ * @param fanOut number of peers to which a new position is announced in each round
+ * @param announceRounds number of announcement rounds; with four peers in each of three rounds, about one process in
+ *     160,000 receives no announcement and learns the position from membership messages
+ * @param announcePeriodNanos time between two announcement rounds in nanoseconds
+ * @param pullTimeoutNanos time without a reply to a pull, in nanoseconds, after which another peer is tried
+ * @param joinTimeoutNanos maximum time in nanoseconds that a new process waits for peers before it puts in force the
+ *     content that it has, such as that of the service
+ * @param joinPeers number of peers that a new process pulls from, and whose positions it waits for
+ * @param headPollPeriodNanos mean period in nanoseconds at which each process checks the service's newest entry, in a
+ *     fleet smaller than twice headPollFleetSize
+ * @param headPollFleetSize the period is multiplied by the fleet size divided by this value, rounded down but at least
+ *     1, so that the load of these checks on the service does not grow with the fleet
+ * @param refetchIntervalNanos minimum time in nanoseconds between two digest mismatch alarms, each of which causes the
+ *     newest whole document and all later entries to be read again
+ * @param readTimeoutNanos time in nanoseconds after which a read without a result counts as failed; must be longer than
+ *     a watch of the service lasts
+ * @param initialBackoffNanos mean wait after a failed read in nanoseconds; doubles with each consecutive failure
+ * @param maxBackoffNanos upper bound of that mean wait in nanoseconds
+ * @param readsPerSecond sustained rate of this process's reads of the service
+ * @param readBurst number of reads that may be made at once
+ * @param wholeDocumentGap if more entries than this are missing, the newest whole document is read instead of them
+ * @param maxLogEntries maximum number of entries kept to serve peers
+ * @param maxLogBytes maximum total size in bytes of the entries kept to serve peers
  */
 public record RelaySettings(
         int fanOut,
         int announceRounds,
         long announcePeriodNanos,
         long pullTimeoutNanos,
-        long joinWaitNanos,
+        long joinTimeoutNanos,
         int joinPeers,
-        long headPollNanos,
-        int headPollFleet,
-        long refetchNanos,
+        long headPollPeriodNanos,
+        int headPollFleetSize,
+        long refetchIntervalNanos,
         long readTimeoutNanos,
-        long backoffNanos,
-        long backoffCeilingNanos,
+        long initialBackoffNanos,
+        long maxBackoffNanos,
         double readsPerSecond,
         double readBurst,
-        int wholeGap,
-        int logEntries,
-        long logBytes) {
+        int wholeDocumentGap,
+        int maxLogEntries,
+        long maxLogBytes) {
 
-    private static final long MILLISECOND = 1_000_000L;
-    private static final long SECOND = 1_000 * MILLISECOND;
-    private static final int POLL_FLEET = 64;
-    private static final int GAP = 32;
-    private static final int LOG_ENTRIES = 128;
-    private static final long LOG_BYTES = 4L << 20;
+    private static final long MILLISECOND_NANOS = 1_000_000L;
+    private static final long SECOND_NANOS = 1_000 * MILLISECOND_NANOS;
+    private static final int HEAD_POLL_FLEET_SIZE = 64;
+    private static final int WHOLE_DOCUMENT_GAP = 32;
+    private static final int MAX_LOG_ENTRIES = 128;
+    private static final long MAX_LOG_BYTES = 4L << 20;
     private static final double READS_PER_SECOND = 20;
     private static final double READ_BURST = 40;
 
     /**
-     * Settings for a service with 2,000 reads a second over all: two readers in each of seven data centres, at 20 reads
-     * a second each, use 280 at the most; the other daemons' checks add about two a second whatever the fleet's size.
+     * Settings for a service with a quota of 2,000 reads per second: two readers in each of seven data centres, at 20
+     * reads per second each, use 280 at most, and the checks by the other daemons add about two per second at any fleet
+     * size.
      */
     public static final RelaySettings STANDARD = new RelaySettings(
             4,
             3,
-            300 * MILLISECOND,
-            SECOND,
-            3 * SECOND,
+            300 * MILLISECOND_NANOS,
+            SECOND_NANOS,
+            3 * SECOND_NANOS,
             3,
-            30 * SECOND,
-            POLL_FLEET,
-            30 * SECOND,
-            15 * SECOND,
-            200 * MILLISECOND,
-            5 * SECOND,
+            30 * SECOND_NANOS,
+            HEAD_POLL_FLEET_SIZE,
+            30 * SECOND_NANOS,
+            15 * SECOND_NANOS,
+            200 * MILLISECOND_NANOS,
+            5 * SECOND_NANOS,
             READS_PER_SECOND,
             READ_BURST,
-            GAP,
-            LOG_ENTRIES,
-            LOG_BYTES);
+            WHOLE_DOCUMENT_GAP,
+            MAX_LOG_ENTRIES,
+            MAX_LOG_BYTES);
 
     /**
-     * The same settings with another budget of reads.
+     * Returns a copy of these settings with another limit on the reads of the service.
      *
-     * @param perSecond reads a second in the long run
-     * @param burst reads that may come at once
-     * @return the changed settings
+     * @param newReadsPerSecond sustained rate of this process's reads of the service
+     * @param newReadBurst number of reads that may be made at once
+     * @return the changed copy
      */
-    public RelaySettings withReadRate(double perSecond, double burst) {
+    public RelaySettings withReadRate(double newReadsPerSecond, double newReadBurst) {
         return new RelaySettings(
                 fanOut,
                 announceRounds,
                 announcePeriodNanos,
                 pullTimeoutNanos,
-                joinWaitNanos,
+                joinTimeoutNanos,
                 joinPeers,
-                headPollNanos,
-                headPollFleet,
-                refetchNanos,
+                headPollPeriodNanos,
+                headPollFleetSize,
+                refetchIntervalNanos,
                 readTimeoutNanos,
-                backoffNanos,
-                backoffCeilingNanos,
-                perSecond,
-                burst,
-                wholeGap,
-                logEntries,
-                logBytes);
+                initialBackoffNanos,
+                maxBackoffNanos,
+                newReadsPerSecond,
+                newReadBurst,
+                wholeDocumentGap,
+                maxLogEntries,
+                maxLogBytes);
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ServiceReads.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/ServiceReads.java
@@ -4,8 +4,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides which read of the service comes next. One read at most is under way; failures back off with jitter, since a
- * service that comes back must not meet the whole fleet at once.
+ * Schedules the reads of the configuration service. At most one read is in flight. Retries after failures use
+ * exponential backoff with jitter, so that a service that recovers is not hit by the whole fleet at once.
  */
 final class ServiceReads {
 
@@ -13,117 +13,122 @@
     private final RandomGenerator random;
     private final ReadBudget budget;
     private boolean reader;
-    private boolean reading;
-    private boolean wholeWanted;
-    private boolean wholeUseless;
-    private long readSinceNanos;
-    private long readAtPosition;
-    private long waitUntilNanos;
+    private boolean readInFlight;
+    private boolean wholePreferred;
+    private boolean wholeUnusable;
+    private long readStartNanos;
+    private long positionAtRead;
+    private long backoffUntilNanos;
     private long backoffNanos;
-    private long nextPollNanos;
+    private long nextHeadPollNanos;
     private long head;
-    private boolean behind;
+    private boolean serviceBehind;
 
     ServiceReads(RelaySettings settings, RandomGenerator random, long nowNanos) {
         this.settings = settings;
         this.random = random;
         this.budget = new ReadBudget(settings.readsPerSecond(), settings.readBurst(), nowNanos);
-        this.backoffNanos = settings.backoffNanos();
-        this.waitUntilNanos = nowNanos;
-        this.nextPollNanos = nowNanos + random.nextLong(settings.headPollNanos());
+        this.backoffNanos = settings.initialBackoffNanos();
+        this.backoffUntilNanos = nowNanos;
+        this.nextHeadPollNanos = nowNanos + random.nextLong(settings.headPollPeriodNanos());
     }
 
-    void reader(boolean isReader) {
+    void setReader(boolean isReader) {
         reader = isReader;
     }
 
-    /** The next read, if one is due. */
-    Optional<RelayEffect> next(FoldState state, FoldState rebuilt, int fleetSize, long nowNanos) {
-        if (reading && nowNanos - readSinceNanos > settings.readTimeoutNanos()) {
-            failed(0, nowNanos);
+    /** Starts the next read if one is due and within the budget. */
+    Optional<RelayEffect> nextRead(FoldState state, FoldState rebuilt, int fleetSize, long nowNanos) {
+        if (readInFlight && nowNanos - readStartNanos > settings.readTimeoutNanos()) {
+            recordFailure(0, nowNanos);
         }
-        if (reading || nowNanos - waitUntilNanos < 0) {
+        if (readInFlight || nowNanos - backoffUntilNanos < 0) {
             return Optional.empty();
         }
-        RelayEffect read = choose(state, rebuilt, fleetSize, nowNanos);
-        if (read == null || !budget.take(nowNanos)) {
+        RelayEffect read = chooseRead(state, rebuilt, fleetSize, nowNanos);
+        if (read == null || !budget.tryTake(nowNanos)) {
             return Optional.empty();
         }
-        reading = true;
-        readSinceNanos = nowNanos;
-        readAtPosition = state.position();
+        readInFlight = true;
+        readStartNanos = nowNanos;
+        positionAtRead = state.position();
         return Optional.of(read);
     }
 
-    void succeeded() {
-        reading = false;
-        backoffNanos = settings.backoffNanos();
+    void recordSuccess() {
+        readInFlight = false;
+        backoffNanos = settings.initialBackoffNanos();
     }
 
-    void failed(long retryAfterNanos, long nowNanos) {
-        reading = false;
-        long wait = backoffNanos / 2 + random.nextLong(backoffNanos);
-        waitUntilNanos = nowNanos + Math.max(wait, retryAfterNanos);
-        backoffNanos = Math.min(2 * backoffNanos, settings.backoffCeilingNanos());
+    void recordFailure(long retryAfterNanos, long nowNanos) {
+        readInFlight = false;
+        long waitNanos = backoffNanos / 2 + random.nextLong(backoffNanos);
+        backoffUntilNanos = nowNanos + Math.max(waitNanos, retryAfterNanos);
+        backoffNanos = Math.min(2 * backoffNanos, settings.maxBackoffNanos());
     }
 
     /**
-     * The service does not have the entry that would come next. Either it is too old, and the newest whole document
-     * leads past it, or the service came back from an old copy and the head that it told is no longer true.
+     * Handles the result that the service does not have the requested entry. Either the service no longer keeps it, and
+     * the newest whole document replaces it, or the service was restored from an old copy and its last reported head is
+     * no longer valid.
      */
-    void missing(long nowNanos) {
-        failed(0, nowNanos);
-        wholeWanted = true;
+    void recordMissingEntry(long nowNanos) {
+        recordFailure(0, nowNanos);
+        wholePreferred = true;
         head = 0;
-        nextPollNanos = nowNanos;
+        nextHeadPollNanos = nowNanos;
     }
 
-    /** The newest whole document was refused, or is not above the position: only single entries lead on. */
-    void wholeUseless() {
-        wholeUseless = true;
-        wholeWanted = false;
+    /** The newest whole document was refused or is not above the position, so missing entries are read one by one. */
+    void markWholeUnusable() {
+        wholeUnusable = true;
+        wholePreferred = false;
     }
 
-    void advanced() {
-        wholeUseless = false;
-        wholeWanted = false;
+    void recordProgress() {
+        wholeUnusable = false;
+        wholePreferred = false;
     }
 
     /**
-     * Notes the service's head; returns whether it is newly known to be behind. It is compared with the position at
-     * the time of the read: peers may have gone ahead while the answer was on its way.
+     * Records the service's head and returns whether the service is now behind this process but was not at the last
+     * report. The head is compared with the position at the start of the read, since this process may have received
+     * newer entries from peers while the read was in flight.
      */
-    boolean noteHead(long read) {
-        head = read;
-        boolean wasBehind = behind;
-        behind = read < readAtPosition;
-        return behind && !wasBehind;
+    boolean recordHead(long newHead) {
+        head = newHead;
+        boolean wasBehind = serviceBehind;
+        serviceBehind = newHead < positionAtRead;
+        return serviceBehind && !wasBehind;
     }
 
-    private RelayEffect choose(FoldState state, FoldState rebuilt, int fleetSize, long nowNanos) {
+    private RelayEffect chooseRead(FoldState state, FoldState rebuilt, int fleetSize, long nowNanos) {
         if (rebuilt != null) {
-            boolean started = rebuilt.position() > 0;
-            return started ? new RelayEffect.Fetch(rebuilt.position() + 1) : new RelayEffect.FetchWhole();
+            boolean rebuildStarted = rebuilt.position() > 0;
+            return rebuildStarted ? new RelayEffect.Fetch(rebuilt.position() + 1) : new RelayEffect.FetchWhole();
         }
         if (state.position() == 0) {
             return new RelayEffect.FetchWhole();
         }
         long gap = head - state.position();
         if (gap > 0) {
-            boolean whole = wholeWanted || gap > settings.wholeGap() && !wholeUseless;
+            boolean whole = wholePreferred || gap > settings.wholeDocumentGap() && !wholeUnusable;
             return whole ? new RelayEffect.FetchWhole() : new RelayEffect.Fetch(state.position() + 1);
         }
-        if (nowNanos - nextPollNanos >= 0) {
-            nextPollNanos = nowNanos + pollPeriod(fleetSize);
+        if (nowNanos - nextHeadPollNanos >= 0) {
+            nextHeadPollNanos = nowNanos + nextHeadPollPeriodNanos(fleetSize);
             return new RelayEffect.FetchHead();
         }
         return reader ? new RelayEffect.Watch(state.position()) : null;
     }
 
-    /** Readers may be cut off from the service while they look alive; a slow check by all others finds that out. */
-    private long pollPeriod(int fleetSize) {
-        long factor = Math.max(1, fleetSize / settings.headPollFleet());
-        long period = settings.headPollNanos() * factor;
-        return period / 2 + random.nextLong(period);
+    /**
+     * The jittered time until the next check of the head. All processes check it, since the readers may have lost their
+     * connection to the service while they still appear alive to their peers.
+     */
+    private long nextHeadPollPeriodNanos(int fleetSize) {
+        long factor = Math.max(1, fleetSize / settings.headPollFleetSize());
+        long periodNanos = settings.headPollPeriodNanos() * factor;
+        return periodNanos / 2 + random.nextLong(periodNanos);
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/configuration/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Relays a sequence of published, numbered documents through the fleet and folds them into what is in force. Bodies are
- * opaque bytes; what they mean is the embedder's {@link org.dotterelcourse.coordination.configuration.EntryReducer}.
+ * Replicates a sequence of published, numbered configuration entries to all processes of the fleet by gossip and folds
+ * them into the content in force. Bodies are opaque bytes, which the embedder interprets in its
+ * {@link org.dotterelcourse.coordination.configuration.EntryReducer}.
  */
 package org.dotterelcourse.coordination.configuration;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/ConfigurationRelayPropertyTest.java
@@ -16,22 +16,23 @@
     private static final long SECOND = SimulatedNetwork.SECOND;
 
     /**
-     * Messages are lost, doubled and late, processes pause and restart, and the service is down or stale, while changes
-     * go on. If a daemon took an older number, a caller who has just been given a new limit or class would lose it again.
+     * Messages are lost, duplicated and delayed, processes pause and restart, and the service is down or stale while
+     * changes are published. If a daemon went back to an older number, a caller would lose a limit or class that it
+     * just got.
      */
     @Property(seed = "41", tries = 25)
-    void numberInForceOnlyRisesAndIsEqualEverywhereOnceHealed(
+    void numberInForceNeverDecreasesAndConvergesAfterFaults(
             @ForAll @IntRange(min = 1, max = 14) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         RelayFleet fleet = new RelayFleet(size, seed);
         Random random = new Random(seed);
         for (int round = 0; round < 20; round++) {
-            trouble(fleet, size, random);
+            injectFaults(fleet, size, random);
             fleet.run(random.nextLong(6 * SECOND) + 1);
             assertNumbersRise(fleet);
         }
-        fleet.wire.clearFaults();
+        fleet.network.clearFaults();
         fleet.serviceDown = false;
-        fleet.staleHead = Long.MAX_VALUE;
+        fleet.visibleHead = Long.MAX_VALUE;
         fleet.run(90 * SECOND);
         assertNumbersRise(fleet);
         assertThat(fleet.allAtReference()).isTrue();
@@ -48,14 +49,14 @@
     }
 
     /**
-     * The configuration service is down for hours, and in that time VMs are replaced. A new daemon without a
-     * configuration could serve nobody; it must get the fleet's from its peers.
+     * VMs are replaced while the configuration service is down for hours. A new daemon can't serve requests without a
+     * configuration, so it must get the fleet's configuration from its peers.
      */
     @Property(seed = "43", tries = 20)
     void newProcessGetsTheFleetsConfigurationWhileTheServiceIsDown(
             @ForAll @IntRange(min = 2, max = 12) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         RelayFleet fleet = new RelayFleet(size, seed);
-        publishSome(fleet, 5);
+        publishPatches(fleet, 5);
         fleet.run(15 * SECOND);
         fleet.serviceDown = true;
         fleet.start(0);
@@ -64,17 +65,17 @@
     }
 
     /**
-     * The service comes back from an old copy, and a VM is replaced just then. If the new daemon believed the service,
-     * it would work by limits and classes that operators have long changed.
+     * A VM is replaced while the service is restored from an old copy. If the new daemon used the entries of the
+     * service, it would apply outdated limits and classes.
      */
     @Property(seed = "44", tries = 20)
-    void staleServiceTakesNobodyBackAndMisleadsNoNewProcess(
+    void staleServiceRevertsNoProcessAndMisleadsNoNewProcess(
             @ForAll @IntRange(min = 4, max = 12) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         RelayFleet fleet = new RelayFleet(size, seed);
-        publishSome(fleet, 8);
+        publishPatches(fleet, 8);
         fleet.run(15 * SECOND);
-        fleet.staleHead = 3;
-        fleet.wire.setFaults(0, 0, 300 * SimulatedNetwork.MILLISECOND);
+        fleet.visibleHead = 3;
+        fleet.network.setFaults(0, 0, 300 * SimulatedNetwork.MILLISECOND);
         fleet.start(1);
         fleet.run(60 * SECOND);
         assertThat(fleet.inForce.get(1)).containsExactly(fleet.reference.number());
@@ -83,31 +84,32 @@
     }
 
     /**
-     * A reader is given another text under the same number than all others, by a fault in the service. Two parts of the
-     * fleet would work by different rules and both believe that they are up to date.
+     * By a fault, the service gives one reader a different body under the same number. Without the comparison of
+     * digests, two parts of the fleet would apply different configurations, and both would consider themselves up to
+     * date.
      */
     @Property(seed = "45", tries = 20)
-    void differentDigestsForOneNumberAreNoticedAndMended(
+    void differentDigestsForOneNumberAreDetectedAndCorrected(
             @ForAll @IntRange(min = 4, max = 12) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         RelayFleet fleet = new RelayFleet(size, seed);
         fleet.run(15 * SECOND);
-        fleet.wrongReader = 0;
-        fleet.wire.pause(0, SECOND);
+        fleet.misledReader = 0;
+        fleet.network.pause(0, SECOND);
         fleet.publishPatch(false);
         fleet.run(120 * SECOND);
         assertThat(fleet.allAtReference()).isTrue();
-        boolean misled = fleet.wrongReader < 0;
+        boolean wasMisled = fleet.misledReader < 0;
         assertThat(fleet.alarms.stream().anyMatch(RelayAlarm.DigestMismatch.class::isInstance))
-                .isEqualTo(misled);
+                .isEqualTo(wasMisled);
         assertNumbersRise(fleet);
     }
 
     /**
-     * The quota of reads is shared and grows more slowly than the fleet. If each daemon checked the service at a fixed
-     * period, a larger fleet would use the quota up, and nobody would see a change in time.
+     * All daemons share the read quota of the service, which grows more slowly than the fleet. If each daemon checked
+     * the service at a fixed period, a larger fleet would exhaust the quota, and no daemon would see a change in time.
      */
     @Property(seed = "46", tries = 3)
-    void readsOfAQuietServiceDoNotGrowWithTheFleet(@ForAll @IntRange(min = 0, max = 2) int doublings) {
+    void readsOfAnUnchangedServiceDoNotGrowWithTheFleet(@ForAll @IntRange(min = 0, max = 2) int doublings) {
         RelayFleet fleet = new RelayFleet(64 << doublings, 46);
         fleet.run(60 * SECOND);
         fleet.reads = 0;
@@ -118,11 +120,11 @@
     }
 
     /**
-     * An operator names the wrong base in a patch. Every daemon must refuse it alike, and the next good patch must not
-     * be held up by it.
+     * An operator publishes a patch with a wrong base. Every daemon must refuse it, and it must not block the next
+     * valid patch.
      */
     @Property(seed = "47", tries = 20)
-    void refusedPatchLeavesTheNumberAndTheNextOneGoesOn(
+    void refusedPatchKeepsTheNumberAndTheNextPatchIsAccepted(
             @ForAll @IntRange(min = 1, max = 10) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         RelayFleet fleet = new RelayFleet(size, seed);
         fleet.run(15 * SECOND);
@@ -138,15 +140,16 @@
         assertThat(fleet.reference.number()).isEqualTo(3);
     }
 
-    private static void trouble(RelayFleet fleet, int size, Random random) {
-        fleet.wire.clearFaults();
-        fleet.wire.setFaults(random.nextDouble() * 0.4, 0.2, random.nextLong(300 * SimulatedNetwork.MILLISECOND) + 1);
+    private static void injectFaults(RelayFleet fleet, int size, Random random) {
+        fleet.network.clearFaults();
+        fleet.network.setFaults(
+                random.nextDouble() * 0.4, 0.2, random.nextLong(300 * SimulatedNetwork.MILLISECOND) + 1);
         for (int i = 0; i < size / 2; i++) {
-            fleet.wire.blockLink(random.nextInt(size), random.nextInt(size));
+            fleet.network.blockLink(random.nextInt(size), random.nextInt(size));
         }
         fleet.serviceDown = random.nextInt(4) == 0;
-        fleet.staleHead = random.nextInt(4) == 0 ? 1 + random.nextInt(5) : Long.MAX_VALUE;
-        publishSome(fleet, random.nextInt(3));
+        fleet.visibleHead = random.nextInt(4) == 0 ? 1 + random.nextInt(5) : Long.MAX_VALUE;
+        publishPatches(fleet, random.nextInt(3));
         if (random.nextInt(5) == 0) {
             String whole = new String(fleet.reference.content().orElseThrow().bytes(), StandardCharsets.UTF_8);
             fleet.publish(true, whole + " again");
@@ -156,13 +159,13 @@
         }
         int node = random.nextInt(size);
         switch (random.nextInt(3)) {
-            case 0 -> fleet.wire.pause(node, random.nextLong(10 * SECOND));
+            case 0 -> fleet.network.pause(node, random.nextLong(10 * SECOND));
             case 1 -> fleet.start(node);
             default -> fleet.run(SECOND);
         }
     }
 
-    private static void publishSome(RelayFleet fleet, int count) {
+    private static void publishPatches(RelayFleet fleet, int count) {
         for (int i = 0; i < count; i++) {
             fleet.publishPatch(false);
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/configuration/RelayFleet.java
@@ -11,31 +11,34 @@
 
 import org.dotterelcourse.coordination.SimulatedNetwork;
 
-/** Relays on a wire beside a published sequence that can be down, stale or wrong for one reader. */
+/**
+ * Simulation of relays on a network, with a configuration service that can be down, stale or return a wrong entry to
+ * one reader.
+ */
 final class RelayFleet {
 
     private static final long READ_NANOS = 5 * SimulatedNetwork.MILLISECOND;
     private static final long WATCH_NANOS = 10 * SimulatedNetwork.SECOND;
     private static final long TICK_NANOS = 100 * SimulatedNetwork.MILLISECOND;
-    private static final int READERS = 2;
+    private static final int READERS_PER_DATA_CENTRE = 2;
 
-    final SimulatedNetwork<byte[]> wire;
+    final SimulatedNetwork<byte[]> network;
     final Map<Integer, ConfigurationRelay> nodes = new TreeMap<>();
     final Map<Integer, List<Long>> inForce = new HashMap<>();
     final List<RelayAlarm> alarms = new ArrayList<>();
     final TreeMap<Long, Entry> published = new TreeMap<>();
     FoldState reference = FoldState.EMPTY;
     boolean serviceDown;
-    long staleHead = Long.MAX_VALUE;
-    int wrongReader = -1;
+    long visibleHead = Long.MAX_VALUE;
+    int misledReader = -1;
     int reads;
     private final Random random;
     private final List<Read> pending = new ArrayList<>();
 
-    private record Read(int node, ConfigurationRelay asker, RelayEffect read, long dueNanos) {}
+    private record Read(int node, ConfigurationRelay relay, RelayEffect read, long dueNanos) {}
 
     RelayFleet(int size, long seed) {
-        wire = new SimulatedNetwork<>(seed);
+        network = new SimulatedNetwork<>(seed);
         random = new Random(seed);
         publish(true, "first");
         for (int i = 0; i < size; i++) {
@@ -43,7 +46,10 @@
         }
     }
 
-    /** Accepts a patch whose first word is the number in force; keeps the bodies of all accepted entries. */
+    /**
+     * Accepts a patch if its first word is the number in force; the document is the concatenation of the accepted
+     * bodies.
+     */
     static EntryReducer.Result fold(Optional<Content> inForce, Entry entry) {
         String body = new String(entry.body(), StandardCharsets.UTF_8);
         if (entry.whole()) {
@@ -61,7 +67,7 @@
         long number = published.isEmpty() ? 1 : published.lastKey() + 1;
         Entry entry = new Entry(number, whole, text.getBytes(StandardCharsets.UTF_8));
         published.put(number, entry);
-        reference = reference.next(RelayFleet::fold, entry).state();
+        reference = reference.apply(RelayFleet::fold, entry).state();
     }
 
     void publishPatch(boolean wrongBase) {
@@ -72,27 +78,27 @@
         nodes.put(
                 node,
                 new ConfigurationRelay(
-                        RelayFleet::fold, RelaySettings.STANDARD, new Random(random.nextLong()), wire.nowNanos()));
+                        RelayFleet::fold, RelaySettings.STANDARD, new Random(random.nextLong()), network.nowNanos()));
         inForce.put(node, new ArrayList<>());
-        wire.attach(
+        network.attach(
                 node,
-                (from, bytes) -> tell(
+                (from, bytes) -> deliver(
                         node,
                         new RelayEvent.Received(
                                 "n" + from,
                                 SimulatedNetwork.address(from),
                                 ConfigurationCodec.decode(bytes).orElseThrow())));
-        for (int each : nodes.keySet()) {
-            tell(each, roster(each));
+        for (int other : nodes.keySet()) {
+            deliver(other, peersChanged(other));
         }
     }
 
     void run(long nanos) {
-        long end = wire.nowNanos() + nanos;
-        while (wire.nowNanos() < end) {
-            wire.advanceTo(wire.nowNanos() + TICK_NANOS / 10);
+        long endNanos = network.nowNanos() + nanos;
+        while (network.nowNanos() < endNanos) {
+            network.advanceTo(network.nowNanos() + TICK_NANOS / 10);
             answerReads();
-            if (wire.nowNanos() / (TICK_NANOS / 10) % 10 == 0) {
+            if (network.nowNanos() / (TICK_NANOS / 10) % 10 == 0) {
                 tick();
             }
         }
@@ -100,82 +106,82 @@
 
     boolean allAtReference() {
         for (ConfigurationRelay relay : nodes.values()) {
-            boolean same = relay.position() == reference.position()
+            boolean equal = relay.position() == reference.position()
                     && relay.inForce()
                             .map(Content::digest)
                             .equals(reference.content().map(Content::digest));
-            if (!same) {
+            if (!equal) {
                 return false;
             }
         }
         return true;
     }
 
-    private RelayEvent.Roster roster(int self) {
+    private RelayEvent.PeersChanged peersChanged(int self) {
         List<RelayPeer> peers = new ArrayList<>();
         for (int node : nodes.keySet()) {
             if (node != self) {
                 peers.add(new RelayPeer("n" + node, SimulatedNetwork.address(node), node % 3 == self % 3));
             }
         }
-        return new RelayEvent.Roster(peers, self / 3 < READERS);
+        return new RelayEvent.PeersChanged(peers, self / 3 < READERS_PER_DATA_CENTRE);
     }
 
     private void tick() {
         for (int node : List.copyOf(nodes.keySet())) {
-            if (wire.isPaused(node)) {
+            if (network.isPaused(node)) {
                 continue;
             }
-            tell(node, new RelayEvent.Tick());
+            deliver(node, new RelayEvent.Tick());
             if (random.nextInt(10) == 0) {
-                hearOfAnother(node);
+                reportRandomPeer(node);
             }
         }
     }
 
-    /** Stands for membership's messages: about one a second from a random member. */
-    private void hearOfAnother(int node) {
-        int other = random.nextInt(nodes.size());
-        ConfigurationRelay relay = nodes.get(other);
-        if (other != node && relay != null) {
+    /** Reports the position of a random peer, as membership messages do about once a second. */
+    private void reportRandomPeer(int node) {
+        int peer = random.nextInt(nodes.size());
+        ConfigurationRelay relay = nodes.get(peer);
+        if (peer != node && relay != null) {
             long digest = relay.inForce().map(Content::digest).orElse(0L);
-            tell(node, new RelayEvent.PeerHead("n" + other, relay.position(), digest));
+            deliver(node, new RelayEvent.PeerHead("n" + peer, relay.position(), digest));
         }
     }
 
-    private void tell(int node, RelayEvent event) {
+    private void deliver(int node, RelayEvent event) {
         ConfigurationRelay relay = nodes.get(node);
-        for (RelayEffect effect : relay.on(event, wire.nowNanos())) {
+        for (RelayEffect effect : relay.on(event, network.nowNanos())) {
             if (effect instanceof RelayEffect.SendTo send) {
                 byte[] bytes = ConfigurationCodec.encode(send.message());
-                wire.send(node, SimulatedNetwork.node(send.to()), bytes, false);
+                network.send(node, SimulatedNetwork.node(send.to()), bytes, false);
             } else if (effect instanceof RelayEffect.InForce changed) {
                 inForce.get(node).add(changed.content().number());
             } else if (effect instanceof RelayEffect.AlarmRaised raised) {
                 alarms.add(raised.alarm());
             } else if (!(effect instanceof RelayEffect.PositionAdvanced || effect instanceof RelayEffect.Refused)) {
                 reads++;
-                long wait = effect instanceof RelayEffect.Watch ? WATCH_NANOS : READ_NANOS;
-                pending.add(new Read(node, relay, effect, wire.nowNanos() + wait));
+                long delayNanos = effect instanceof RelayEffect.Watch ? WATCH_NANOS : READ_NANOS;
+                pending.add(new Read(node, relay, effect, network.nowNanos() + delayNanos));
             }
         }
     }
 
     private void answerReads() {
         for (Read read : List.copyOf(pending)) {
-            boolean news = read.read instanceof RelayEffect.Watch watch && !serviceDown && head() > watch.after();
-            boolean due = wire.nowNanos() >= read.dueNanos && !wire.isPaused(read.node);
-            if (news || due) {
+            boolean headMoved = read.read instanceof RelayEffect.Watch watch && !serviceDown && head() > watch.after();
+            boolean due = network.nowNanos() >= read.dueNanos && !network.isPaused(read.node);
+            if (headMoved || due) {
                 pending.remove(read);
-                if (nodes.get(read.node) == read.asker) {
-                    tell(read.node, answer(read));
+                if (nodes.get(read.node) == read.relay) {
+                    deliver(read.node, answer(read));
                 }
             }
         }
     }
 
     private long head() {
-        return Math.min(staleHead, published.lastKey());
+        return Math.min(visibleHead, published.lastKey());
     }
 
     private RelayEvent answer(Read read) {
@@ -206,13 +212,13 @@
         return newest;
     }
 
-    /** One reader is once given another body than all others. */
+    /** Returns a wrong body once, to the reader {@code misledReader}. */
     private Entry entryFor(int node, long number) {
         Entry entry = published.get(number);
-        if (node != wrongReader || entry.whole()) {
+        if (node != misledReader || entry.whole()) {
             return entry;
         }
-        wrongReader = -1;
+        misledReader = -1;
         String wrong = new String(entry.body(), StandardCharsets.UTF_8) + " wrong";
         return new Entry(number, false, wrong.getBytes(StandardCharsets.UTF_8));
     }
