--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/ModelVersion.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/ModelVersion.java
@@ -1,7 +1,7 @@
 package org.dotterelcourse.coordination.order;
 
 /**
- * One version of a model.
+ * A version of a model. Ordered by model name, then by version name.
  *
  * @param model the model's name
  * @param version the version's name
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/Order.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/Order.java
@@ -1,10 +1,10 @@
 package org.dotterelcourse.coordination.order;
 
 /**
- * One order to one engine.
+ * An order to the engine of one worker.
  *
  * @param worker the worker's name
- * @param fence its fencing number
- * @param action what to do
+ * @param fence the fencing token, by which an engine rejects outdated orders
+ * @param action the change that the engine is to make
  */
 public record Order(String worker, Fence fence, OrderAction action) {}
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderAnswer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderAnswer.java
@@ -1,20 +1,20 @@
 package org.dotterelcourse.coordination.order;
 
-/** What came of writing an order. */
+/** The outcome of writing an order to an engine. */
 public sealed interface OrderAnswer {
     /** The engine accepted it. */
     record Accepted() implements OrderAnswer {}
 
     /**
-     * The engine has seen a higher fencing number.
+     * The engine rejected the order, because it has received a higher fencing token.
      *
-     * @param highest that number
+     * @param highest the highest fencing token that the engine has received
      */
     record Fenced(Fence highest) implements OrderAnswer {}
 
-    /** It failed, or may have failed; the reports will tell. */
+    /** The order failed, or its outcome is unknown. Later state reports show whether it took effect. */
     record Failed() implements OrderAnswer {}
 
-    /** {@link OrderIssuer#mayWrite} said no, so that nothing was written. */
+    /** Nothing was written, for example because {@link OrderIssuer#mayWrite} returned false. */
     record NotWritten() implements OrderAnswer {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderEffect.java
@@ -2,38 +2,39 @@
 
 import java.util.List;
 
-/** What the embedder of an {@link OrderIssuer} has to do. */
+/** An action requested by an {@link OrderIssuer}, to be carried out by the embedder. */
 public sealed interface OrderEffect {
     /**
-     * Stop sending new work for a version to a worker, let what runs there end, then call
+     * Stop sending new requests for a version to a worker, wait until the running ones have ended, then call
      * {@link OrderIssuer#completeDrain}.
      *
      * @param worker the worker's name
-     * @param version the version that will be unloaded
+     * @param version the version to be unloaded
      */
     record Drain(String worker, ModelVersion version) implements OrderEffect {}
 
     /**
-     * Send new work for a version to a worker again: it won't be unloaded after all.
+     * Send new requests for a version to a worker again, since its unload is no longer pending, for example because a
+     * new configuration cancelled it or an engine rejected it.
      *
      * @param worker the worker's name
-     * @param version the version
+     * @param version the version of the preceding {@link Drain}
      */
     record Resume(String worker, ModelVersion version) implements OrderEffect {}
 
     /**
-     * Send an order. Call {@link OrderIssuer#mayWrite} right before it is written, and
-     * {@link OrderIssuer#handleAnswer} after.
+     * Send an order to an engine. Call {@link OrderIssuer#mayWrite} immediately before the order is written, and
+     * {@link OrderIssuer#handleAnswer} afterwards.
      *
-     * @param order the order
+     * @param order the order to send
      */
     record Issue(Order order) implements OrderEffect {}
 
     /**
-     * Tell the operators: these workers can't be changed without leaving too few serving copies. Given when the list
-     * changes.
+     * Report to the operators the workers that can't be changed without leaving too few workers that serve a model.
+     * Emitted whenever the list changes.
      *
-     * @param workers their names; empty when none is blocked any more
+     * @param workers names of the blocked workers; empty when none is blocked any more
      */
     record Blocked(List<String> workers) implements OrderEffect {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderIssuer.java
@@ -9,15 +9,17 @@
 import java.util.TreeMap;
 
 /**
- * Issues the orders for one cell while this daemon owns it.
+ * Issues the orders to the engines of one cell while this daemon owns the cell. A reconciliation loop: it compares the
+ * reported states of the engines with the goal and orders the differences.
  *
- * <p>An order may be written only if the configuration in force here is the highest that this daemon has heard of, and
- * a peer has confirmed so recently. The confirmation counts from when the peer was asked, on this daemon's own clock,
- * not from when the answer was read: a process that wakes from a pause finds old messages in its sockets, and would
- * otherwise take them for news and order what the fleet has moved on from. One would notice engines that go back to an
- * older version and forth again.
+ * <p>An order may be written only if the configuration in force in this daemon has the highest number that it knows of,
+ * and a peer has confirmed this recently. The age of a confirmation counts from the time at which the peer was asked,
+ * on this daemon's own clock, not from the time at which the answer was read. Without this, a process that resumes
+ * after a pause would accept the old answers in its socket buffers as recent and issue orders of an outdated
+ * configuration: engines would switch back to an older version and then forward again.
  *
- * <p>The state is derived (the goal, from the configuration) and reconstructible (the engines' states, by reading them).
+ * <p>No state has to be stored: the goal is derived from the configuration, and the states of the engines can be read
+ * again.
  */
 public final class OrderIssuer {
     private static final long NEVER = Long.MIN_VALUE;
@@ -25,298 +27,305 @@
     private final OrderSettings settings;
     private final Map<String, EngineState> states = new HashMap<>();
     private final Map<String, Fence> fences = new HashMap<>();
-    private final Map<String, UnderWay> underWay = new HashMap<>();
+    private final Map<String, PendingOrder> pendingOrders = new HashMap<>();
     private final Map<String, ModelVersion> draining = new TreeMap<>();
     private CellGoal goal;
-    private long highestHeard;
+    private long highestNumber;
     private long confirmedNanos = NEVER;
     private long ownerSinceNanos = NEVER;
     private long lastLoadNanos = NEVER;
-    private List<String> blocked = List.of();
+    private List<String> blockedWorkers = List.of();
 
     /**
-     * Makes an issuer that owns nothing.
+     * Creates an issuer for a cell that this daemon does not own yet.
      *
-     * @param settings times and bounds
+     * @param settings timeouts and limits
      */
     public OrderIssuer(OrderSettings settings) {
         this.settings = settings;
     }
 
-    /** An order from its planning until its effect is reported. */
-    private static final class UnderWay {
+    /** An order that was planned and whose effect is not visible in a state report yet. */
+    private static final class PendingOrder {
         private final Order order;
         private boolean drained;
         private boolean issued;
         private boolean accepted;
         private long sinceNanos;
 
-        UnderWay(Order order, long nowNanos) {
+        PendingOrder(Order order, long nowNanos) {
             this.order = order;
             this.sinceNanos = nowNanos;
         }
     }
 
     /**
-     * A configuration is in force here. Older ones than the last are passed over.
+     * Sets the goal from the configuration in force in this daemon. Ignored unless its number is higher than that of
+     * the present goal.
      *
-     * @param inForce what it says of this cell
+     * @param newGoal the desired state of this cell
      */
-    public void updateGoal(CellGoal inForce) {
-        if (goal != null && inForce.number() <= goal.number()) {
+    public void updateGoal(CellGoal newGoal) {
+        if (goal != null && newGoal.number() <= goal.number()) {
             return;
         }
-        goal = inForce;
-        heard(inForce.number());
-        // What was planned under the old number but not sent is planned anew; what was sent is awaited.
-        underWay.values().removeIf(order -> !order.issued);
+        goal = newGoal;
+        observeNumber(newGoal.number());
+        // Orders that were not sent yet are planned again with the new number; those that were sent stay pending.
+        pendingOrders.values().removeIf(pending -> !pending.issued);
     }
 
     /**
-     * Somebody spoke of a configuration's number.
+     * Records the existence of a configuration number. While the goal has a lower number, no orders are issued.
      *
-     * @param number the number
+     * @param number a configuration number that another process or an engine has used
      */
-    public void heard(long number) {
-        highestHeard = Math.max(highestHeard, number);
+    public void observeNumber(long number) {
+        highestNumber = Math.max(highestNumber, number);
     }
 
     /**
-     * A peer answered a question of this daemon with the highest number that it knows.
+     * Records a peer's answer to the question for the highest configuration number that it knows.
      *
-     * @param number the number
-     * @param askedNanos when the question was sent, on this daemon's clock
+     * @param number the number in the answer
+     * @param askedNanos monotonic time of this process, in nanoseconds, at which the question was sent
      */
     public void confirmNumber(long number, long askedNanos) {
-        heard(number);
+        observeNumber(number);
         confirmedNanos = Math.max(confirmedNanos, askedNanos);
     }
 
     /**
-     * This daemon owns the cell from now on, or no longer does.
+     * Sets whether this daemon owns the cell. When it loses the cell, all pending orders are dropped.
      *
-     * @param owner whether it does
-     * @param nowNanos the time
+     * @param owner whether this daemon owns the cell from now on
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void setOwner(boolean owner, long nowNanos) {
         if (!owner) {
             ownerSinceNanos = NEVER;
-            underWay.clear();
+            pendingOrders.clear();
         } else if (ownerSinceNanos == NEVER) {
             ownerSinceNanos = nowNanos;
         }
     }
 
     /**
-     * An engine's state has been read.
+     * Records the state of an engine. Ignored if it was measured before the last recorded state of the same worker.
      *
-     * @param state the state
+     * @param state the state that the engine reported
      */
     public void report(EngineState state) {
-        EngineState known = states.get(state.worker());
-        if (known != null && state.measuredNanos() < known.measuredNanos()) {
+        EngineState previous = states.get(state.worker());
+        if (previous != null && state.measuredNanos() < previous.measuredNanos()) {
             return;
         }
         Fence fence = fences.merge(state.worker(), state.fence(), OrderIssuer::higher);
         states.put(
                 state.worker(),
                 new EngineState(state.worker(), fence, state.loaded(), state.role(), state.measuredNanos()));
-        heard(fence.number());
-        UnderWay order = underWay.get(state.worker());
-        if (order != null && order.accepted && state.measuredNanos() > order.sinceNanos && shows(state, order.order)) {
-            underWay.remove(state.worker());
+        observeNumber(fence.number());
+        PendingOrder pending = pendingOrders.get(state.worker());
+        if (pending != null
+                && pending.accepted
+                && state.measuredNanos() > pending.sinceNanos
+                && isEffectVisible(state, pending.order)) {
+            pendingOrders.remove(state.worker());
             draining.remove(state.worker());
         }
     }
 
     /**
-     * A worker has no work left for the version that {@link OrderEffect.Drain} named.
+     * Records that no requests for the version of an {@link OrderEffect.Drain} run on a worker any more, so that the
+     * unload may be issued.
      *
      * @param worker the worker's name
-     * @param version the version
-     * @param nowNanos the time
-     * @return what to do
+     * @param version the version to be unloaded
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the effects to carry out, in order
      */
     public List<OrderEffect> completeDrain(String worker, ModelVersion version, long nowNanos) {
-        UnderWay waiting = underWay.get(worker);
+        PendingOrder pending = pendingOrders.get(worker);
         OrderAction unload = new OrderAction.Unload(version);
-        if (waiting == null || !waiting.order.action().equals(unload)) {
+        if (pending == null || !pending.order.action().equals(unload)) {
             return List.of();
         }
-        waiting.drained = true;
-        return mayIssue(nowNanos) ? issueDrained(nowNanos) : List.of();
+        pending.drained = true;
+        return mayIssue(nowNanos) ? issueDrainedOrders(nowNanos) : List.of();
     }
 
     /**
-     * Whether an order may be written now. To be called right before its first byte is.
+     * Whether an order may still be written. To be called immediately before its first byte is written.
      *
-     * @param order the order
-     * @param nowNanos the time
-     * @return true if it is still this issuer's to give
+     * @param order an order from an {@link OrderEffect.Issue}
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return true if the order is still pending and valid under the present goal, ownership and engine states
      */
     public boolean mayWrite(Order order, long nowNanos) {
-        UnderWay current = underWay.get(order.worker());
-        boolean pending = current != null && current.order.equals(order) && current.issued && !current.accepted;
-        if (!pending || !mayIssue(nowNanos) || order.fence().number() != goal.number()) {
+        PendingOrder pending = pendingOrders.get(order.worker());
+        boolean awaitsWrite = pending != null && pending.order.equals(order) && pending.issued && !pending.accepted;
+        if (!awaitsWrite || !mayIssue(nowNanos) || order.fence().number() != goal.number()) {
             return false;
         }
-        return OrderPlanner.stillServed(goal, fresh(nowNanos), orders(), order);
+        return OrderPlanner.keepsMinServing(goal, freshStates(nowNanos), pendingByWorker(), order);
     }
 
     /**
-     * An order was written, or not.
+     * Handles the outcome of writing an order.
      *
-     * @param order the order
-     * @param answer what came of it
-     * @param nowNanos the time
+     * @param order an order from an {@link OrderEffect.Issue}
+     * @param answer the engine's answer, or the reason why there is none
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void handleAnswer(Order order, OrderAnswer answer, long nowNanos) {
         if (answer instanceof OrderAnswer.Fenced fenced) {
-            heard(fenced.highest().number());
+            observeNumber(fenced.highest().number());
             fences.merge(order.worker(), fenced.highest(), OrderIssuer::higher);
         }
-        UnderWay current = underWay.get(order.worker());
-        if (current == null || !current.order.equals(order)) {
+        PendingOrder pending = pendingOrders.get(order.worker());
+        if (pending == null || !pending.order.equals(order)) {
             return;
         }
         if (answer instanceof OrderAnswer.Accepted) {
-            current.accepted = true;
-            current.sinceNanos = nowNanos;
+            pending.accepted = true;
+            pending.sinceNanos = nowNanos;
         } else {
-            // The state is read again before the next order: a failed one may have arrived, and a fenced one means that
-            // the state is not what it seemed.
-            underWay.remove(order.worker());
+            // The state must be read again before the next order: a failed order may have reached the engine, and a
+            // fenced one shows that the recorded state is outdated.
+            pendingOrders.remove(order.worker());
             states.remove(order.worker());
         }
     }
 
     /**
-     * Time has passed. To be called every few hundred milliseconds.
+     * Drops orders whose effect timed out, and plans new ones. To be called every few hundred milliseconds.
      *
-     * @param nowNanos the time
-     * @return what to do
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the effects to carry out, in order
      */
     public List<OrderEffect> advance(long nowNanos) {
-        underWay.values().removeIf(order -> nowNanos - order.sinceNanos > settings.effectTimeoutNanos());
+        pendingOrders.values().removeIf(pending -> nowNanos - pending.sinceNanos > settings.effectTimeoutNanos());
         List<OrderEffect> effects = new ArrayList<>();
-        resume(effects);
+        resumeCancelledDrains(effects);
         if (!mayIssue(nowNanos)) {
             return effects;
         }
-        effects.addAll(issueDrained(nowNanos));
-        OrderPlanner.Plan plan = OrderPlanner.plan(goal, fresh(nowNanos), orders());
+        effects.addAll(issueDrainedOrders(nowNanos));
+        OrderPlanner.Plan plan = OrderPlanner.plan(goal, freshStates(nowNanos), pendingByWorker());
         for (Order order : plan.orders()) {
-            start(order, nowNanos, effects);
+            startOrder(order, nowNanos, effects);
         }
-        if (!plan.blocked().equals(blocked)) {
-            blocked = plan.blocked();
-            effects.add(new OrderEffect.Blocked(blocked));
+        if (!plan.blocked().equals(blockedWorkers)) {
+            blockedWorkers = plan.blocked();
+            effects.add(new OrderEffect.Blocked(blockedWorkers));
         }
         return effects;
     }
 
     /**
-     * Whether the cell is as the goal says, by fresh reports.
+     * Whether recent reports of all workers match the goal.
      *
-     * @param nowNanos the time
-     * @return true if no order is under way or left to give
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return true if no order is pending and none is left to issue
      */
-    public boolean reached(long nowNanos) {
-        if (goal == null || !underWay.isEmpty()) {
+    public boolean isGoalReached(long nowNanos) {
+        if (goal == null || !pendingOrders.isEmpty()) {
             return false;
         }
-        Map<String, EngineState> fresh = fresh(nowNanos);
+        Map<String, EngineState> fresh = freshStates(nowNanos);
         OrderPlanner.Plan plan = OrderPlanner.plan(goal, fresh, Map.of());
         return fresh.keySet().containsAll(goal.workers().keySet())
                 && plan.orders().isEmpty()
                 && plan.blocked().isEmpty();
     }
 
-    private void start(Order order, long nowNanos, List<OrderEffect> effects) {
+    private void startOrder(Order order, long nowNanos, List<OrderEffect> effects) {
         if (order.action() instanceof OrderAction.Load) {
-            boolean early = lastLoadNanos != NEVER && nowNanos - lastLoadNanos < settings.loadIntervalNanos();
-            if (early || loading() >= settings.maxLoading()) {
+            boolean tooEarly = lastLoadNanos != NEVER && nowNanos - lastLoadNanos < settings.loadIntervalNanos();
+            if (tooEarly || countPendingLoads() >= settings.maxConcurrentLoads()) {
                 return;
             }
             lastLoadNanos = nowNanos;
         }
-        if (order.action() instanceof OrderAction.Unload && !settled(nowNanos)) {
-            // What the old owner unloaded last doesn't show in the lagging reports yet, so a copy that is counted as
-            // serving may be gone. A fence doesn't help: the new owner's order is above the old one's.
+        if (order.action() instanceof OrderAction.Unload && !isSettled(nowNanos)) {
+            // Reports lag, so a copy that is counted as serving may already have been unloaded by the previous owner.
+            // Fencing doesn't prevent this: the order of the new owner has the higher token.
             return;
         }
-        UnderWay started = new UnderWay(order, nowNanos);
-        underWay.put(order.worker(), started);
+        PendingOrder pending = new PendingOrder(order, nowNanos);
+        pendingOrders.put(order.worker(), pending);
         if (order.action() instanceof OrderAction.Unload unload) {
             draining.put(order.worker(), unload.version());
             effects.add(new OrderEffect.Drain(order.worker(), unload.version()));
         } else {
-            started.issued = true;
+            pending.issued = true;
             effects.add(new OrderEffect.Issue(order));
         }
     }
 
-    /** Gives work back to workers whose unloading was given up, or they would stand idle for good. */
-    private void resume(List<OrderEffect> effects) {
-        draining.entrySet().removeIf(each -> {
-            UnderWay order = underWay.get(each.getKey());
-            boolean unloads = order != null && order.order.action().equals(new OrderAction.Unload(each.getValue()));
-            if (!unloads) {
-                effects.add(new OrderEffect.Resume(each.getKey(), each.getValue()));
+    /** Resumes workers whose unload is no longer pending; otherwise they would stay idle forever. */
+    private void resumeCancelledDrains(List<OrderEffect> effects) {
+        draining.entrySet().removeIf(drain -> {
+            PendingOrder pending = pendingOrders.get(drain.getKey());
+            boolean stillUnloading =
+                    pending != null && pending.order.action().equals(new OrderAction.Unload(drain.getValue()));
+            if (!stillUnloading) {
+                effects.add(new OrderEffect.Resume(drain.getKey(), drain.getValue()));
             }
-            return !unloads;
+            return !stillUnloading;
         });
     }
 
-    private List<OrderEffect> issueDrained(long nowNanos) {
+    private List<OrderEffect> issueDrainedOrders(long nowNanos) {
         List<OrderEffect> effects = new ArrayList<>();
-        for (UnderWay each : underWay.values()) {
-            if (each.drained && !each.issued && each.order.fence().number() == goal.number()) {
-                each.issued = true;
-                each.sinceNanos = nowNanos;
-                effects.add(new OrderEffect.Issue(each.order));
+        for (PendingOrder pending : pendingOrders.values()) {
+            if (pending.drained && !pending.issued && pending.order.fence().number() == goal.number()) {
+                pending.issued = true;
+                pending.sinceNanos = nowNanos;
+                effects.add(new OrderEffect.Issue(pending.order));
             }
         }
         return effects;
     }
 
-    private static Fence higher(Fence one, Fence other) {
-        return one.compareTo(other) >= 0 ? one : other;
+    private static Fence higher(Fence first, Fence second) {
+        return first.compareTo(second) >= 0 ? first : second;
     }
 
     private boolean mayIssue(long nowNanos) {
-        if (goal == null || ownerSinceNanos == NEVER || goal.number() < highestHeard) {
+        if (goal == null || ownerSinceNanos == NEVER || goal.number() < highestNumber) {
             return false;
         }
         if (confirmedNanos == NEVER || nowNanos - confirmedNanos > settings.maxConfirmationAgeNanos()) {
             return false;
         }
-        // Where engines take any order, the old owner's last ones must have arrived and shown in the reports before the
-        // first new one is planned; or both work on the cell at once, which shows as too few serving copies.
-        return goal.checksFences() || settled(nowNanos);
+        // If engines don't check fencing tokens, the last orders of the previous owner must be visible in the reports
+        // before the first new one is planned. Otherwise both owners change the cell at once, and too few workers serve
+        // a model.
+        return goal.checksFences() || isSettled(nowNanos);
     }
 
-    private boolean settled(long nowNanos) {
+    private boolean isSettled(long nowNanos) {
         return nowNanos - ownerSinceNanos >= settings.settleNanos();
     }
 
-    private int loading() {
-        int loading = 0;
-        for (UnderWay order : underWay.values()) {
-            if (order.order.action() instanceof OrderAction.Load) {
-                loading++;
+    private int countPendingLoads() {
+        int count = 0;
+        for (PendingOrder pending : pendingOrders.values()) {
+            if (pending.order.action() instanceof OrderAction.Load) {
+                count++;
             }
         }
-        return loading;
+        return count;
     }
 
-    private Map<String, Order> orders() {
+    private Map<String, Order> pendingByWorker() {
         Map<String, Order> orders = new HashMap<>();
-        underWay.forEach((worker, each) -> orders.put(worker, each.order));
+        pendingOrders.forEach((worker, pending) -> orders.put(worker, pending.order));
         return orders;
     }
 
-    private Map<String, EngineState> fresh(long nowNanos) {
+    private Map<String, EngineState> freshStates(long nowNanos) {
         Map<String, EngineState> fresh = new HashMap<>(states);
         Set<String> stale = new HashSet<>();
         fresh.forEach((worker, state) -> {
@@ -328,7 +337,7 @@
         return fresh;
     }
 
-    private static boolean shows(EngineState state, Order order) {
+    private static boolean isEffectVisible(EngineState state, Order order) {
         if (order.action() instanceof OrderAction.Load load) {
             return state.loaded().contains(load.version());
         }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderPlanner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/order/OrderPlanner.java
@@ -9,9 +9,9 @@
 import java.util.TreeSet;
 
 /**
- * Says which orders come next: a pure function of the goal, the engines' reported states and the orders whose effect
- * isn't reported yet. Two daemons that know the same get the same orders with the same fencing numbers, and workers are
- * taken in the order of their names, so that two issuers at once change the same workers first.
+ * Plans the next orders: a pure function of the goal, the reported states of the engines and the pending orders.
+ * Daemons with the same input plan the same orders with the same fencing tokens. Workers are processed in the order of
+ * their names, so that two concurrent issuers change the same workers first.
  */
 final class OrderPlanner {
     private OrderPlanner() {}
@@ -19,32 +19,34 @@
     /**
      * The result of planning.
      *
-     * @param orders at most one for each worker
-     * @param blocked workers that have something to unload, but not without leaving too few serving copies
+     * @param orders the orders to issue, at most one for each worker
+     * @param blocked names of workers whose unload would leave too few workers that serve the model
      */
     record Plan(List<Order> orders, List<String> blocked) {}
 
     /**
-     * Plans.
+     * Plans the next orders.
      *
-     * @param goal what is to be
-     * @param states fresh states only, by worker; a worker without one gets no order and counts as serving nothing
-     * @param underWay orders whose effect isn't reported yet, by worker; such a worker gets no further order
+     * @param goal the desired state
+     * @param states recent engine states by worker; a worker without one gets no order and counts as serving nothing
+     * @param pendingOrders orders whose effect isn't reported yet, by worker; these workers get no further order
      */
-    static Plan plan(CellGoal goal, Map<String, EngineState> states, Map<String, Order> underWay) {
-        Map<String, Integer> serving = serving(states, underWay);
+    static Plan plan(CellGoal goal, Map<String, EngineState> states, Map<String, Order> pendingOrders) {
+        Map<String, Integer> serving = countServing(states, pendingOrders);
         List<Order> orders = new ArrayList<>();
         List<String> blocked = new ArrayList<>();
-        goal.workers().forEach((worker, wanted) -> {
+        goal.workers().forEach((worker, workerGoal) -> {
             EngineState state = states.get(worker);
-            if (state == null || underWay.containsKey(worker) || state.fence().number() > goal.number()) {
+            if (state == null
+                    || pendingOrders.containsKey(worker)
+                    || state.fence().number() > goal.number()) {
                 return;
             }
-            Optional<OrderAction> action = action(wanted, state);
+            Optional<OrderAction> action = nextAction(workerGoal, state);
             if (action.isEmpty()) {
                 return;
             }
-            if (action.get() instanceof OrderAction.Unload unload && !mayUnload(goal, state, unload, serving)) {
+            if (action.get() instanceof OrderAction.Unload unload && !reserveUnload(goal, state, unload, serving)) {
                 blocked.add(worker);
                 return;
             }
@@ -54,24 +56,25 @@
     }
 
     /**
-     * Whether an order that was planned before may still be given, by what is known now. An unloading that was planned from
-     * older reports may leave too few copies if an engine or another issuer has taken some away since.
+     * Whether an order that was planned earlier is still valid under the current states. An unload that was planned
+     * from older reports may leave too few workers that serve the model if an engine or another issuer has unloaded
+     * copies since.
      *
-     * @param underWay the orders under way, this one included
+     * @param pendingOrders the pending orders by worker, including this one
      */
-    static boolean stillServed(
-            CellGoal goal, Map<String, EngineState> states, Map<String, Order> underWay, Order order) {
+    static boolean keepsMinServing(
+            CellGoal goal, Map<String, EngineState> states, Map<String, Order> pendingOrders, Order order) {
         EngineState state = states.get(order.worker());
         if (!(order.action() instanceof OrderAction.Unload unload) || state == null) {
             return state != null;
         }
         String model = unload.version().model();
-        int serving = serving(states, underWay).getOrDefault(model, 0);
+        int serving = countServing(states, pendingOrders).getOrDefault(model, 0);
         return serving >= goal.minServing().getOrDefault(model, 0);
     }
 
-    /** The first thing that differs: the role, then loading where there is room, then unloading. */
-    private static Optional<OrderAction> action(WorkerGoal goal, EngineState state) {
+    /** The first difference to the goal: the role, then a missing version if a slot is free, then a surplus version. */
+    private static Optional<OrderAction> nextAction(WorkerGoal goal, EngineState state) {
         if (!goal.role().isEmpty() && !goal.role().equals(state.role())) {
             return Optional.of(new OrderAction.Role(goal.role()));
         }
@@ -80,42 +83,46 @@
         if (!missing.isEmpty() && state.loaded().size() < goal.slots()) {
             return Optional.of(new OrderAction.Load(missing.first()));
         }
-        SortedSet<ModelVersion> extra = new TreeSet<>(state.loaded());
-        extra.removeAll(goal.versions());
-        return extra.isEmpty() ? Optional.empty() : Optional.of(new OrderAction.Unload(extra.first()));
+        SortedSet<ModelVersion> surplus = new TreeSet<>(state.loaded());
+        surplus.removeAll(goal.versions());
+        return surplus.isEmpty() ? Optional.empty() : Optional.of(new OrderAction.Unload(surplus.first()));
     }
 
-    /** Checks that enough workers still serve the model, and counts this one out if they do. */
-    private static boolean mayUnload(
+    /** If enough other workers serve the model, subtracts this worker from the count and returns true. */
+    private static boolean reserveUnload(
             CellGoal goal, EngineState state, OrderAction.Unload unload, Map<String, Integer> serving) {
         String model = unload.version().model();
-        long versionsHere = state.loaded().stream()
+        long loadedVersions = state.loaded().stream()
                 .filter(version -> version.model().equals(model))
                 .count();
-        if (versionsHere > 1) {
+        if (loadedVersions > 1) {
             return true;
         }
-        int left = serving.getOrDefault(model, 0) - 1;
-        if (left < goal.minServing().getOrDefault(model, 0)) {
+        int remaining = serving.getOrDefault(model, 0) - 1;
+        if (remaining < goal.minServing().getOrDefault(model, 0)) {
             return false;
         }
-        serving.put(model, left);
+        serving.put(model, remaining);
         return true;
     }
 
     /**
-     * How many workers serve each model for sure. A version that is being unloaded no longer counts although the lagging
-     * report still shows it; one that is being loaded doesn't count yet.
+     * Counts for each model the workers that certainly serve it. A version with a pending unload isn't counted,
+     * although the lagging report still contains it; a version that is being loaded isn't counted yet.
      */
-    private static Map<String, Integer> serving(Map<String, EngineState> states, Map<String, Order> underWay) {
+    private static Map<String, Integer> countServing(
+            Map<String, EngineState> states, Map<String, Order> pendingOrders) {
         Map<String, Integer> serving = new HashMap<>();
         for (EngineState state : states.values()) {
-            SortedSet<ModelVersion> sure = new TreeSet<>(state.loaded());
-            Order order = underWay.get(state.worker());
+            SortedSet<ModelVersion> counted = new TreeSet<>(state.loaded());
+            Order order = pendingOrders.get(state.worker());
             if (order != null && order.action() instanceof OrderAction.Unload unload) {
-                sure.remove(unload.version());
+                counted.remove(unload.version());
             }
-            sure.stream().map(ModelVersion::model).distinct().forEach(model -> serving.merge(model, 1, Integer::sum));
+            counted.stream()
+                    .map(ModelVersion::model)
+                    .distinct()
+                    .forEach(model -> serving.merge(model, 1, Integer::sum));
         }
         return serving;
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleet.java
@@ -10,68 +10,68 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Three issuers, six engines that load one version at a time, and delayed messages between them. */
+/** Simulation of three daemons that issue orders, six engines that load one version at a time, and delayed messages. */
 final class OrderFleet {
-    static final long MILLI = 1_000_000L;
-    static final long STEP = 20 * MILLI;
+    static final long MILLI_NANOS = 1_000_000L;
+    static final long STEP_NANOS = 20 * MILLI_NANOS;
     static final int ENGINES = 6;
     static final int MIN_SERVING = 4;
     static final String MODEL = "sabla-llm";
-    static final OrderSettings SETTINGS =
-            new OrderSettings(1_000 * MILLI, 3_000 * MILLI, 2_000 * MILLI, 10_000 * MILLI, 200 * MILLI, 2);
+    static final OrderSettings SETTINGS = new OrderSettings(
+            1_000 * MILLI_NANOS, 3_000 * MILLI_NANOS, 2_000 * MILLI_NANOS, 10_000 * MILLI_NANOS, 200 * MILLI_NANOS, 2);
 
     final SplittableRandom random;
     final boolean checksFences;
-    final List<Issuer> issuers = new ArrayList<>();
+    final List<Daemon> daemons = new ArrayList<>();
     final Map<String, Engine> engines = new TreeMap<>();
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<Write> writes = new ArrayList<>();
     private long lastEvent;
-    long newest = 1;
-    long leastServing = ENGINES;
-    long now;
+    long newestNumber = 1;
+    long lowestServing = ENGINES;
+    long nowNanos;
 
-    private record Event(long due, long order, Runnable action) implements Comparable<Event> {
+    private record Event(long dueNanos, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            int byTime = Long.compare(due, other.due);
+            int byTime = Long.compare(dueNanos, other.dueNanos);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    private record Write(Issuer by, long number, long at) {}
+    private record Write(Daemon writer, long number, long writtenNanos) {}
 
-    /** An engine with room for one version. */
+    /** An engine that can have one version loaded. */
     static final class Engine {
         final TreeSet<ModelVersion> loaded = new TreeSet<>();
         private ModelVersion loading;
-        private long loadedAt;
+        private long loadEndNanos;
         private Fence fence = Fence.NONE;
     }
 
     /** A daemon that may own the cell. */
-    final class Issuer {
+    final class Daemon {
         final String name;
         final OrderIssuer issuer = new OrderIssuer(SETTINGS);
-        int side;
-        long pausedUntil;
-        long aloneOrPausedAt;
-        long known;
-        private boolean owns;
-        private long askedAt;
-        private long readAt;
+        int partition;
+        long pausedUntilNanos;
+        long lastPausedOrPartitionedNanos;
+        long highestNumber;
+        private boolean ownsCell;
+        private long lastAskNanos;
+        private long lastReadNanos;
         private final List<Runnable> inbox = new ArrayList<>();
 
-        Issuer(String name) {
+        Daemon(String name) {
             this.name = name;
         }
 
         void pause(long nanos) {
-            pausedUntil = now + nanos;
+            pausedUntilNanos = nowNanos + nanos;
         }
 
-        void moveTo(int newSide) {
-            side = newSide;
+        void moveTo(int newPartition) {
+            partition = newPartition;
         }
 
         void deliver(Runnable action) {
@@ -79,70 +79,71 @@
         }
 
         void step() {
-            if (now < pausedUntil) {
-                aloneOrPausedAt = now;
+            if (nowNanos < pausedUntilNanos) {
+                lastPausedOrPartitionedNanos = nowNanos;
                 return;
             }
             List<Runnable> arrived = List.copyOf(inbox);
             inbox.clear();
             arrived.forEach(Runnable::run);
-            if (now - askedAt >= 200 * MILLI) {
-                askedAt = now;
-                issuers.stream().filter(peer -> peer != this).forEach(this::askPeer);
+            if (nowNanos - lastAskNanos >= 200 * MILLI_NANOS) {
+                lastAskNanos = nowNanos;
+                daemons.stream().filter(peer -> peer != this).forEach(this::askPeer);
             }
-            if (now - readAt >= 300 * MILLI) {
-                readAt = now;
+            if (nowNanos - lastReadNanos >= 300 * MILLI_NANOS) {
+                lastReadNanos = nowNanos;
                 engines.forEach(this::read);
             }
-            perform(issuer.advance(now));
+            perform(issuer.advance(nowNanos));
         }
 
-        private void askPeer(Issuer peer) {
-            long asked = now;
+        private void askPeer(Daemon peer) {
+            long askedNanos = nowNanos;
             send(peer, () -> {
-                long answer = peer.known;
-                peer.send(this, () -> issuer.confirmNumber(answer, asked));
+                long answer = peer.highestNumber;
+                peer.send(this, () -> issuer.confirmNumber(answer, askedNanos));
             });
         }
 
-        private void send(Issuer to, Runnable action) {
-            if (to.side == side) {
-                later(100 * MILLI, () -> to.deliver(action));
+        private void send(Daemon to, Runnable action) {
+            if (to.partition == partition) {
+                schedule(100 * MILLI_NANOS, () -> to.deliver(action));
             }
         }
 
         private void read(String worker, Engine engine) {
-            EngineState state = new EngineState(worker, engine.fence, new TreeSet<>(engine.loaded), "", now);
-            later(300 * MILLI, () -> deliver(() -> issuer.report(state)));
+            EngineState state = new EngineState(worker, engine.fence, new TreeSet<>(engine.loaded), "", nowNanos);
+            schedule(300 * MILLI_NANOS, () -> deliver(() -> issuer.report(state)));
         }
 
-        void learns(long number) {
-            known = Math.max(known, number);
+        void applyConfiguration(long number) {
+            highestNumber = Math.max(highestNumber, number);
             issuer.updateGoal(goal(number));
         }
 
         private void perform(List<OrderEffect> effects) {
             for (OrderEffect effect : effects) {
                 if (effect instanceof OrderEffect.Drain drain) {
-                    later(
-                            100 * MILLI,
-                            () -> deliver(() -> perform(issuer.completeDrain(drain.worker(), drain.version(), now))));
+                    schedule(
+                            100 * MILLI_NANOS,
+                            () -> deliver(
+                                    () -> perform(issuer.completeDrain(drain.worker(), drain.version(), nowNanos))));
                 } else if (effect instanceof OrderEffect.Issue issue) {
-                    later(200 * MILLI, () -> deliver(() -> write(issue.order())));
+                    schedule(200 * MILLI_NANOS, () -> deliver(() -> write(issue.order())));
                 }
             }
         }
 
         private void write(Order order) {
-            if (!issuer.mayWrite(order, now)) {
-                issuer.handleAnswer(order, new OrderAnswer.NotWritten(), now);
+            if (!issuer.mayWrite(order, nowNanos)) {
+                issuer.handleAnswer(order, new OrderAnswer.NotWritten(), nowNanos);
                 return;
             }
-            noHigherNumberCouldBeHeard(this, order.fence().number());
-            writes.add(new Write(this, order.fence().number(), now));
-            later(100 * MILLI, () -> {
-                OrderAnswer answer = arrives(order);
-                later(100 * MILLI, () -> deliver(() -> issuer.handleAnswer(order, answer, now)));
+            assertNoHigherNumberWasReachable(this, order.fence().number());
+            writes.add(new Write(this, order.fence().number(), nowNanos));
+            schedule(100 * MILLI_NANOS, () -> {
+                OrderAnswer answer = executeOrder(order);
+                schedule(100 * MILLI_NANOS, () -> deliver(() -> issuer.handleAnswer(order, answer, nowNanos)));
             });
         }
     }
@@ -151,7 +152,7 @@
         random = new SplittableRandom(seed);
         this.checksFences = checksFences;
         for (int i = 0; i < 3; i++) {
-            issuers.add(new Issuer("entry-" + i));
+            daemons.add(new Daemon("entry-" + i));
         }
         for (int i = 0; i < ENGINES; i++) {
             Engine engine = new Engine();
@@ -168,62 +169,68 @@
         return new CellGoal(number, workers, Map.of(MODEL, MIN_SERVING), checksFences);
     }
 
-    void nextNumber() {
-        newest++;
+    void publishNextNumber() {
+        newestNumber++;
         publish();
     }
 
-    /** Every issuer learns of the newest number after a delay of its own, also one that is cut off. */
+    /** Delivers the newest configuration to every daemon after a random delay, also to those in the other partition. */
     void publish() {
-        long number = newest;
-        issuers.forEach(issuer -> later(5_000 * MILLI, () -> issuer.deliver(() -> issuer.learns(number))));
-        owners();
+        long number = newestNumber;
+        daemons.forEach(
+                daemon -> schedule(5_000 * MILLI_NANOS, () -> daemon.deliver(() -> daemon.applyConfiguration(number))));
+        updateOwners();
     }
 
-    /** On each side, the first issuer that isn't paused owns the cell; each learns so after a delay. */
-    void owners() {
-        boolean[] owned = new boolean[2];
-        for (Issuer issuer : issuers) {
-            issuer.owns = now >= issuer.pausedUntil && !owned[issuer.side];
-            owned[issuer.side] |= issuer.owns;
-            later(400 * MILLI, () -> issuer.deliver(() -> issuer.issuer.setOwner(issuer.owns, now)));
+    /**
+     * In each partition, the first daemon that isn't paused owns the cell; each daemon learns this after a random
+     * delay.
+     */
+    void updateOwners() {
+        boolean[] hasOwner = new boolean[2];
+        for (Daemon daemon : daemons) {
+            daemon.ownsCell = nowNanos >= daemon.pausedUntilNanos && !hasOwner[daemon.partition];
+            hasOwner[daemon.partition] |= daemon.ownsCell;
+            schedule(400 * MILLI_NANOS, () -> daemon.deliver(() -> daemon.issuer.setOwner(daemon.ownsCell, nowNanos)));
         }
     }
 
-    void later(long maxDelay, Runnable action) {
+    void schedule(long maxDelayNanos, Runnable action) {
         lastEvent++;
-        events.add(new Event(now + 1 + random.nextLong(maxDelay), lastEvent, action));
+        events.add(new Event(nowNanos + 1 + random.nextLong(maxDelayNanos), lastEvent, action));
     }
 
     void run(long nanos) {
-        long until = now + nanos;
-        while (now < until) {
-            now += STEP;
-            while (!events.isEmpty() && events.peek().due() <= now) {
+        long endNanos = nowNanos + nanos;
+        while (nowNanos < endNanos) {
+            nowNanos += STEP_NANOS;
+            while (!events.isEmpty() && events.peek().dueNanos() <= nowNanos) {
                 events.poll().action().run();
             }
-            engines.values().forEach(this::load);
-            issuers.forEach(Issuer::step);
-            leastServing = Math.min(leastServing, serving());
-            boolean cut = issuers.stream().anyMatch(issuer -> issuer.side != 0);
-            issuers.stream().filter(issuer -> cut).forEach(issuer -> issuer.aloneOrPausedAt = now);
+            engines.values().forEach(this::finishLoad);
+            daemons.forEach(Daemon::step);
+            lowestServing = Math.min(lowestServing, countServing());
+            boolean partitioned = daemons.stream().anyMatch(daemon -> daemon.partition != 0);
+            daemons.stream()
+                    .filter(daemon -> partitioned)
+                    .forEach(daemon -> daemon.lastPausedOrPartitionedNanos = nowNanos);
         }
     }
 
-    long serving() {
+    long countServing() {
         return engines.values().stream()
                 .filter(engine -> !engine.loaded.isEmpty())
                 .count();
     }
 
-    private void load(Engine engine) {
-        if (engine.loading != null && engine.loadedAt <= now) {
+    private void finishLoad(Engine engine) {
+        if (engine.loading != null && engine.loadEndNanos <= nowNanos) {
             engine.loaded.add(engine.loading);
             engine.loading = null;
         }
     }
 
-    private OrderAnswer arrives(Order order) {
+    private OrderAnswer executeOrder(Order order) {
         Engine engine = engines.get(order.worker());
         if (checksFences && order.fence().compareTo(engine.fence) < 0) {
             return new OrderAnswer.Fenced(engine.fence);
@@ -232,7 +239,7 @@
         if (order.action() instanceof OrderAction.Load load) {
             if (engine.loaded.isEmpty() && engine.loading == null) {
                 engine.loading = load.version();
-                engine.loadedAt = now + (500 + random.nextLong(1_000)) * MILLI;
+                engine.loadEndNanos = nowNanos + (500 + random.nextLong(1_000)) * MILLI_NANOS;
             }
         } else if (order.action() instanceof OrderAction.Unload unload) {
             engine.loaded.remove(unload.version());
@@ -240,12 +247,17 @@
         return new OrderAnswer.Accepted();
     }
 
-    /** A number that another issuer wrote long enough ago, while neither was paused or cut off, has been heard. */
-    private void noHigherNumberCouldBeHeard(Issuer by, long number) {
-        long longEnough = SETTINGS.maxConfirmationAgeNanos() + 400 * MILLI;
+    /**
+     * Asserts that the writer knows every number that another daemon used long enough ago, unless one of the two was
+     * paused or the fleet was partitioned since.
+     */
+    private void assertNoHigherNumberWasReachable(Daemon writer, long number) {
+        long exchangeNanos = SETTINGS.maxConfirmationAgeNanos() + 400 * MILLI_NANOS;
         for (Write write : writes) {
-            boolean inReach = Math.max(by.aloneOrPausedAt, write.by().aloneOrPausedAt) < write.at();
-            if (inReach && now - write.at() > longEnough) {
+            boolean reachable =
+                    Math.max(writer.lastPausedOrPartitionedNanos, write.writer().lastPausedOrPartitionedNanos)
+                            < write.writtenNanos();
+            if (reachable && nowNanos - write.writtenNanos() > exchangeNanos) {
                 assertThat(number).as("number after " + write).isGreaterThanOrEqualTo(write.number());
             }
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderFleetTest.java
@@ -7,70 +7,75 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class OrderFleetTest {
-    private static final long MILLI = OrderFleet.MILLI;
+    private static final long MILLI_NANOS = OrderFleet.MILLI_NANOS;
 
-    /** A new version is rolled out. Callers must find enough workers that serve the model all the time. */
+    /**
+     * A rollout of a new version that unloads too many workers at once leaves callers with too few workers that serve
+     * the model.
+     */
     @Property(tries = 40, seed = "41", shrinking = ShrinkingMode.OFF)
-    void aRollKeepsTheServingCopies(@ForAll long seed, @ForAll boolean checksFences) {
+    void rolloutKeepsTheMinimumOfServingWorkers(@ForAll long seed, @ForAll boolean checksFences) {
         OrderFleet fleet = new OrderFleet(seed, checksFences);
-        fleet.run(6_000 * MILLI);
-        fleet.nextNumber();
-        fleet.run(30_000 * MILLI);
-        assertThat(fleet.leastServing).isEqualTo(OrderFleet.MIN_SERVING);
-        reachesTheGoal(fleet);
+        fleet.run(6_000 * MILLI_NANOS);
+        fleet.publishNextNumber();
+        fleet.run(30_000 * MILLI_NANOS);
+        assertThat(fleet.lowestServing).isEqualTo(OrderFleet.MIN_SERVING);
+        assertGoalReached(fleet);
     }
 
     /**
-     * Owners pause in the middle of a roll and wake up while others have taken over, and each learns of new
-     * configurations late. Callers would get answers of an old version again, or find too few workers.
+     * Owners pause during a rollout and resume after other daemons have taken over, and new configurations arrive late.
+     * After an order of an outdated owner, callers would get answers of an old version again or find too few workers that
+     * serve the model.
      */
     @Property(tries = 60, seed = "42", shrinking = ShrinkingMode.OFF)
-    void ownersThatPauseAndWakeKeepTheOrderAndTheServingCopies(@ForAll long seed, @ForAll boolean checksFences) {
+    void pausedOwnersKeepTheOrderOfNumbersAndTheMinimumOfServingWorkers(
+            @ForAll long seed, @ForAll boolean checksFences) {
         OrderFleet fleet = new OrderFleet(seed, checksFences);
-        disturb(fleet, false);
-        reachesTheGoal(fleet);
-        assertThat(fleet.leastServing).isEqualTo(OrderFleet.MIN_SERVING);
+        injectFaults(fleet, false);
+        assertGoalReached(fleet);
+        assertThat(fleet.lowestServing).isEqualTo(OrderFleet.MIN_SERVING);
     }
 
     /**
-     * The fleet is cut in two as well, and both sides have an owner. Each keeps the serving copies by lagging reports
-     * without knowing what the other is about to unload, so callers may find fewer of them until one owner reads the
-     * other's number at the engines.
+     * In addition the fleet is partitioned, and both sides have an owner. Each keeps the minimum of serving workers
+     * according to lagging reports, without knowing what the other is about to unload. Fewer workers may therefore
+     * serve the model until one owner reads the other's number from the engines.
      */
     @Property(tries = 60, seed = "43", shrinking = ShrinkingMode.OFF)
-    void twoOwnersInPartitionKeepTheOrderAndTakeOutTwiceTheCopiesAtMost(
+    void partitionedOwnersKeepTheOrderOfNumbersAndUnloadAtMostTwiceAsManyWorkers(
             @ForAll long seed, @ForAll boolean checksFences) {
         OrderFleet fleet = new OrderFleet(seed, checksFences);
-        disturb(fleet, true);
-        reachesTheGoal(fleet);
-        int takenOutByOne = OrderFleet.ENGINES - OrderFleet.MIN_SERVING;
-        assertThat(fleet.leastServing).isGreaterThanOrEqualTo(OrderFleet.ENGINES - 2 * takenOutByOne);
+        injectFaults(fleet, true);
+        assertGoalReached(fleet);
+        int unloadedByOneOwner = OrderFleet.ENGINES - OrderFleet.MIN_SERVING;
+        assertThat(fleet.lowestServing).isGreaterThanOrEqualTo(OrderFleet.ENGINES - 2 * unloadedByOneOwner);
     }
 
-    private static void disturb(OrderFleet fleet, boolean partitions) {
-        fleet.run(6_000 * MILLI);
+    private static void injectFaults(OrderFleet fleet, boolean partitions) {
+        fleet.run(6_000 * MILLI_NANOS);
         for (int round = 0; round < 60; round++) {
-            OrderFleet.Issuer issuer = fleet.issuers.get(fleet.random.nextInt(3));
+            OrderFleet.Daemon daemon = fleet.daemons.get(fleet.random.nextInt(3));
             switch (fleet.random.nextInt(6)) {
-                case 0 -> fleet.nextNumber();
-                case 1 -> issuer.pause(fleet.random.nextLong(5_000 * MILLI));
-                case 2 -> issuer.moveTo(partitions ? 1 : 0);
-                case 3 -> fleet.issuers.forEach(each -> each.moveTo(0));
+                case 0 -> fleet.publishNextNumber();
+                case 1 -> daemon.pause(fleet.random.nextLong(5_000 * MILLI_NANOS));
+                case 2 -> daemon.moveTo(partitions ? 1 : 0);
+                case 3 -> fleet.daemons.forEach(each -> each.moveTo(0));
                 default -> {}
             }
-            fleet.owners();
-            fleet.run(fleet.random.nextLong(1_000 * MILLI));
+            fleet.updateOwners();
+            fleet.run(fleet.random.nextLong(1_000 * MILLI_NANOS));
         }
-        fleet.issuers.forEach(each -> each.moveTo(0));
-        fleet.issuers.forEach(each -> each.pause(0));
+        fleet.daemons.forEach(each -> each.moveTo(0));
+        fleet.daemons.forEach(each -> each.pause(0));
         fleet.publish();
-        fleet.run(40_000 * MILLI);
+        fleet.run(40_000 * MILLI_NANOS);
     }
 
-    private static void reachesTheGoal(OrderFleet fleet) {
-        ModelVersion wanted = new ModelVersion(OrderFleet.MODEL, "v" + fleet.newest);
+    private static void assertGoalReached(OrderFleet fleet) {
+        ModelVersion expected = new ModelVersion(OrderFleet.MODEL, "v" + fleet.newestNumber);
         assertThat(fleet.engines.values())
-                .allSatisfy(engine -> assertThat(engine.loaded).containsExactly(wanted));
-        assertThat(fleet.issuers.get(0).issuer.reached(fleet.now)).isTrue();
+                .allSatisfy(engine -> assertThat(engine.loaded).containsExactly(expected));
+        assertThat(fleet.daemons.get(0).issuer.isGoalReached(fleet.nowNanos)).isTrue();
     }
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
@@ -16,11 +16,11 @@
     private final OrderIssuer issuer = new OrderIssuer(SETTINGS);
 
     /**
-     * The process is paused for long and finds, when it wakes, an answer that came before. Taking the answer for news,
-     * it would order what the fleet has moved on from.
+     * After a long pause the process reads a confirmation that arrived during the pause. If it counted as recent, the
+     * process would issue orders of a configuration that the fleet has replaced.
      */
     @Test
-    void aPausedIssuerThatWakesIssuesNothingUntilAPeerAnswersANewQuestion() {
+    void afterAPauseNothingIsIssuedUntilAPeerAnswersANewQuestion() {
         owns(true);
         issuer.report(state("a", OLD, 10));
         Order order = unload(issuer.advance(20), 20);
@@ -34,22 +34,24 @@
         assertThat(issuer.mayWrite(order, 900)).isTrue();
     }
 
-    /** Another daemon has a newer configuration already. An order by the old one would be undone at once. */
+    /** Another daemon already has a newer configuration. Orders of the older one would be reverted immediately. */
     @Test
-    void anIssuerThatHearsOfAHigherNumberStopsUntilItHasThatConfiguration() {
+    void noOrderIsIssuedWhileAHigherNumberIsKnown() {
         owns(true);
         issuer.report(state("a", OLD, 10));
         Order order = unload(issuer.advance(20), 20);
 
-        issuer.heard(8);
+        issuer.observeNumber(8);
 
         assertThat(issuer.mayWrite(order, 30)).isFalse();
         assertThat(issuer.advance(30)).isEmpty();
     }
 
-    /** Engines take any order, so the old owner's last ones may still be on their way when the new one starts. */
+    /**
+     * These engines accept any order, so orders of the previous owner may still be in flight when the new owner starts.
+     */
     @Test
-    void whereEnginesCheckNoFenceANewOwnerWaitsOutTheSettleTime() {
+    void newOwnerWaitsForTheSettleTimeIfEnginesDontCheckFences() {
         owns(false);
         issuer.report(state("a", OLD, 10));
         issuer.confirmNumber(7, 499);
@@ -59,9 +61,9 @@
         assertThat(issuer.advance(500)).isNotEmpty();
     }
 
-    /** Two hundred workers start empty. Without pacing the weight store would refuse most of their loads. */
+    /** Two hundred workers start without a model. Without pacing, the weight store would reject most of their loads. */
     @Test
-    void loadsAreSpacedAndBounded() {
+    void loadsAreSpacedAndLimitedInNumber() {
         issuer.updateGoal(goal(7, true, 0, "a", "b", "c", "d"));
         issuer.setOwner(true, 0);
         int loads = 0;
@@ -71,18 +73,20 @@
                 issuer.report(new EngineState(worker, Fence.NONE, new TreeSet<>(), "", now));
             }
             loads += issuer.advance(now).size();
-            assertThat(loads).isLessThanOrEqualTo(1 + (int) now / 50).isLessThanOrEqualTo(SETTINGS.maxLoading());
+            assertThat(loads)
+                    .isLessThanOrEqualTo(1 + (int) now / 50)
+                    .isLessThanOrEqualTo(SETTINGS.maxConcurrentLoads());
         }
         assertThat(loads).isEqualTo(2);
     }
 
-    /** An engine crashes and comes back without its model. Its worker would stand idle for good. */
+    /** An engine restarts without its model after a crash. Without a new order its worker would stay idle forever. */
     @Test
-    void whatAnEngineLostIsOrderedAgain() {
+    void versionThatAnEngineLostIsLoadedAgain() {
         owns(true);
         issuer.report(state("a", NEW, 10));
         assertThat(issuer.advance(20)).isEmpty();
-        assertThat(issuer.reached(20)).isTrue();
+        assertThat(issuer.isGoalReached(20)).isTrue();
 
         issuer.report(new EngineState("a", new Fence(7, 3), new TreeSet<>(), "", 30));
 
@@ -90,9 +94,11 @@
                 .containsExactly(new OrderEffect.Issue(new Order("a", new Fence(7, 4), new OrderAction.Load(NEW))));
     }
 
-    /** The only copy can't be changed without leaving none. The operators must hear that the roll stands still. */
+    /**
+     * The only worker that serves the model can't be changed. Operators must be notified that the rollout is blocked.
+     */
     @Test
-    void aRollThatWouldLeaveTooFewCopiesIsReported() {
+    void rolloutThatWouldLeaveTooFewServingWorkersIsReported() {
         issuer.updateGoal(goal(7, true, 1, "a"));
         issuer.setOwner(true, 0);
         issuer.confirmNumber(7, 10);
@@ -102,9 +108,9 @@
         assertThat(issuer.advance(30)).isEmpty();
     }
 
-    /** A configuration takes the change back while the worker is being drained. It must get work again. */
+    /** A configuration reverts the change while the worker is being drained. The worker must receive requests again. */
     @Test
-    void aWorkerWhoseUnloadingIsGivenUpGetsWorkAgain() {
+    void workerIsResumedWhenItsUnloadIsCancelled() {
         owns(true);
         issuer.report(state("a", OLD, 10));
         assertThat(issuer.advance(20)).containsExactly(new OrderEffect.Drain("a", OLD));
@@ -116,9 +122,11 @@
         assertThat(issuer.advance(30)).containsExactly(new OrderEffect.Resume("a", OLD));
     }
 
-    /** Another issuer was faster. This one reads the engine's state anew and goes on from there. */
+    /**
+     * Another issuer wrote its order first. This one must read the engine's state again and use a higher fencing token.
+     */
     @Test
-    void anIssuerThatIsFencedReadsTheStateAndGoesAboveTheFence() {
+    void fencedIssuerWaitsForANewStateAndUsesAHigherToken() {
         owns(true);
         issuer.report(state("a", OLD, 10));
         Order order = unload(issuer.advance(20), 20);
