--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/order/OrderIssuerTest.java
@@ -16,73 +16,77 @@
     private final OrderIssuer issuer = new OrderIssuer(SETTINGS);
 
     /**
-     * The process is paused for long and finds, when it wakes, an answer that came before. Taking the answer for news,
-     * it would order what the fleet has moved on from.
+     * After a long pause the process reads a confirmation that arrived during the pause. If it counted as recent, the
+     * process would issue orders of a configuration that the fleet has replaced.
      */
     @Test
-    void aPausedIssuerThatWakesIssuesNothingUntilAPeerAnswersANewQuestion() {
+    void afterAPauseNothingIsIssuedUntilAPeerAnswersANewQuestion() {
         owns(true);
         issuer.report(state("a", OLD, 10));
         Order order = unload(issuer.advance(20), 20);
         assertThat(issuer.mayWrite(order, 30)).isTrue();
 
-        issuer.confirmed(7, 40);
+        issuer.confirmNumber(7, 40);
         assertThat(issuer.mayWrite(order, 900)).isFalse();
         assertThat(issuer.advance(900)).isEmpty();
 
-        issuer.confirmed(7, 890);
+        issuer.confirmNumber(7, 890);
         assertThat(issuer.mayWrite(order, 900)).isTrue();
     }
 
-    /** Another daemon has a newer configuration already. An order by the old one would be undone at once. */
+    /** Another daemon already has a newer configuration. Orders of the older one would be reverted immediately. */
     @Test
-    void anIssuerThatHearsOfAHigherNumberStopsUntilItHasThatConfiguration() {
+    void noOrderIsIssuedWhileAHigherNumberIsKnown() {
         owns(true);
         issuer.report(state("a", OLD, 10));
         Order order = unload(issuer.advance(20), 20);
 
-        issuer.heard(8);
+        issuer.observeNumber(8);
 
         assertThat(issuer.mayWrite(order, 30)).isFalse();
         assertThat(issuer.advance(30)).isEmpty();
     }
 
-    /** Engines take any order, so the old owner's last ones may still be on their way when the new one starts. */
+    /**
+     * These engines accept any order, so orders of the previous owner may still be in flight when the new owner starts.
+     */
     @Test
-    void whereEnginesCheckNoFenceANewOwnerWaitsOutTheSettleTime() {
+    void newOwnerWaitsForTheSettleTimeIfEnginesDontCheckFences() {
         owns(false);
         issuer.report(state("a", OLD, 10));
-        issuer.confirmed(7, 499);
+        issuer.confirmNumber(7, 499);
         assertThat(issuer.advance(499)).isEmpty();
 
         issuer.report(state("a", OLD, 500));
         assertThat(issuer.advance(500)).isNotEmpty();
     }
 
-    /** Two hundred workers start empty. Without pacing the weight store would refuse most of their loads. */
+    /** Two hundred workers start without a model. Without pacing, the weight store would reject most of their loads. */
     @Test
-    void loadsAreSpacedAndBounded() {
-        issuer.goal(goal(7, true, 0, "a", "b", "c", "d"));
-        issuer.owner(true, 0);
+    void loadsAreSpacedAndLimitedInNumber() {
+        issuer.updateGoal(goal(7, true, 0, "a", "b", "c", "d"));
+        issuer.setOwner(true, 0);
         int loads = 0;
         for (long now = 1; now <= 1_000; now++) {
-            issuer.confirmed(7, now);
+            issuer.confirmNumber(7, now);
             for (String worker : List.of("a", "b", "c", "d")) {
                 issuer.report(new EngineState(worker, Fence.NONE, new TreeSet<>(), "", now));
             }
             loads += issuer.advance(now).size();
-            assertThat(loads).isLessThanOrEqualTo(1 + (int) now / 50).isLessThanOrEqualTo(SETTINGS.maxLoading());
+            assertThat(loads)
+                    .isLessThanOrEqualTo(1 + (int) now / 50)
+                    .isLessThanOrEqualTo(SETTINGS.maxConcurrentLoads());
         }
         assertThat(loads).isEqualTo(2);
     }
 
-    /** An engine crashes and comes back without its model. Its worker would stand idle for good. */
+    /** An engine restarts without its model after a crash. Without a new order its worker would stay idle forever. */
     @Test
-    void whatAnEngineLostIsOrderedAgain() {
+    void versionThatAnEngineLostIsLoadedAgain() {
         owns(true);
         issuer.report(state("a", NEW, 10));
         assertThat(issuer.advance(20)).isEmpty();
-        assertThat(issuer.reached(20)).isTrue();
+        assertThat(issuer.isGoalReached(20)).isTrue();
 
         issuer.report(new EngineState("a", new Fence(7, 3), new TreeSet<>(), "", 30));
 
@@ -90,40 +94,44 @@
                 .containsExactly(new OrderEffect.Issue(new Order("a", new Fence(7, 4), new OrderAction.Load(NEW))));
     }
 
-    /** The only copy can't be changed without leaving none. The operators must hear that the roll stands still. */
+    /**
+     * The only worker that serves the model can't be changed. Operators must be notified that the rollout is blocked.
+     */
     @Test
-    void aRollThatWouldLeaveTooFewCopiesIsReported() {
-        issuer.goal(goal(7, true, 1, "a"));
-        issuer.owner(true, 0);
-        issuer.confirmed(7, 10);
+    void rolloutThatWouldLeaveTooFewServingWorkersIsReported() {
+        issuer.updateGoal(goal(7, true, 1, "a"));
+        issuer.setOwner(true, 0);
+        issuer.confirmNumber(7, 10);
         issuer.report(state("a", OLD, 10));
 
         assertThat(issuer.advance(20)).containsExactly(new OrderEffect.Blocked(List.of("a")));
         assertThat(issuer.advance(30)).isEmpty();
     }
 
-    /** A configuration takes the change back while the worker is being drained. It must get work again. */
+    /** A configuration reverts the change while the worker is being drained. The worker must receive requests again. */
     @Test
-    void aWorkerWhoseUnloadingIsGivenUpGetsWorkAgain() {
+    void workerIsResumedWhenItsUnloadIsCancelled() {
         owns(true);
         issuer.report(state("a", OLD, 10));
         assertThat(issuer.advance(20)).containsExactly(new OrderEffect.Drain("a", OLD));
         TreeMap<String, WorkerGoal> workers = new TreeMap<>();
         workers.put("a", new WorkerGoal("", new TreeSet<>(List.of(OLD)), 1));
 
-        issuer.goal(new CellGoal(8, workers, Map.of(), true));
+        issuer.updateGoal(new CellGoal(8, workers, Map.of(), true));
 
         assertThat(issuer.advance(30)).containsExactly(new OrderEffect.Resume("a", OLD));
     }
 
-    /** Another issuer was faster. This one reads the engine's state anew and goes on from there. */
+    /**
+     * Another issuer wrote its order first. This one must read the engine's state again and use a higher fencing token.
+     */
     @Test
-    void anIssuerThatIsFencedReadsTheStateAndGoesAboveTheFence() {
+    void fencedIssuerWaitsForANewStateAndUsesAHigherToken() {
         owns(true);
         issuer.report(state("a", OLD, 10));
         Order order = unload(issuer.advance(20), 20);
 
-        issuer.answered(order, new OrderAnswer.Fenced(new Fence(7, 9)), 30);
+        issuer.handleAnswer(order, new OrderAnswer.Fenced(new Fence(7, 9)), 30);
         assertThat(issuer.advance(40)).containsExactly(new OrderEffect.Resume("a", OLD));
         issuer.report(state("a", OLD, 50));
 
@@ -131,14 +139,14 @@
     }
 
     private void owns(boolean checksFences) {
-        issuer.goal(goal(7, checksFences, 0, "a"));
-        issuer.owner(true, checksFences ? -SETTINGS.settleNanos() : 0);
-        issuer.confirmed(7, 10);
+        issuer.updateGoal(goal(7, checksFences, 0, "a"));
+        issuer.setOwner(true, checksFences ? -SETTINGS.settleNanos() : 0);
+        issuer.confirmNumber(7, 10);
     }
 
     private Order unload(List<OrderEffect> effects, long now) {
         assertThat(effects).containsExactly(new OrderEffect.Drain("a", OLD));
-        return ((OrderEffect.Issue) issuer.drained("a", OLD, now).get(0)).order();
+        return ((OrderEffect.Issue) issuer.completeDrain("a", OLD, now).get(0)).order();
     }
 
     private static EngineState state(String worker, ModelVersion loaded, long now) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
@@ -46,10 +46,10 @@
         OrderSettings usual = OrderSettings.defaults();
         long interval = NANOS_PER_MINUTE * cells / Math.max(1, upstream.loadsPerMinute());
         this.issuer = new OrderIssuer(new OrderSettings(
-                usual.freshNanos(),
+                usual.maxConfirmationAgeNanos(),
                 usual.settleNanos(),
-                usual.staleReportNanos(),
-                usual.effectNanos(),
+                usual.maxReportAgeNanos(),
+                usual.effectTimeoutNanos(),
                 interval,
                 MAX_LOADING));
     }
@@ -71,7 +71,7 @@
         SortedMap<String, WorkerGoal> goals = new TreeMap<>();
         workers.forEach(worker -> goals.put(worker, new WorkerGoal("", versions, versions.size() + SLOTS - 1)));
         boolean checked = upstream.fencing() == Upstream.Fencing.CHECKED;
-        issuer.goal(new CellGoal(configuration.number(), goals, minServing, checked));
+        issuer.updateGoal(new CellGoal(configuration.number(), goals, minServing, checked));
     }
 
     void report(EngineState state) {
@@ -114,7 +114,8 @@
         for (Map.Entry<String, Draining> each : Map.copyOf(draining).entrySet()) {
             if (!cell.hasGrantUpTo(each.getKey(), each.getValue().mark())) {
                 draining.remove(each.getKey());
-                orders.addAll(take(issuer.drained(each.getKey(), each.getValue().version(), nowNanos), 0));
+                orders.addAll(
+                        take(issuer.completeDrain(each.getKey(), each.getValue().version(), nowNanos), 0));
             }
         }
         return orders;
@@ -126,7 +127,7 @@
     }
 
     void answered(Order order, OrderAnswer answer, long nowNanos) {
-        issuer.answered(order, answer, nowNanos);
+        issuer.handleAnswer(order, answer, nowNanos);
     }
 
     static String describe(OrderAction action) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
@@ -70,7 +70,7 @@
         store = kernel.find(ConfigurationStore.NAME);
         audit = kernel.find(AuditTrail.NAME);
         peers = kernel.find(Peers.NAME);
-        RelaySettings settings = RelaySettings.STANDARD.withReads(readsPerSecond, 2 * readsPerSecond);
+        RelaySettings settings = RelaySettings.STANDARD.withReadRate(readsPerSecond, 2 * readsPerSecond);
         ConfigurationRelay relay =
                 new ConfigurationRelay(folder, settings, RandomGenerator.getDefault(), System.nanoTime());
         driver = new ConfigurationDriver(peers.transport(), relay, this::carryOut);
@@ -103,12 +103,12 @@
     private void told(RelayEffect effect) {
         if (effect instanceof RelayEffect.InForce inForce) {
             store.offer(folder.configuration(inForce.content()), "published");
-        } else if (effect instanceof RelayEffect.Advanced advanced) {
+        } else if (effect instanceof RelayEffect.PositionAdvanced advanced) {
             peers.publishConfiguration(advanced.position(), advanced.digest());
         } else if (effect instanceof RelayEffect.Refused refused) {
             String cause = "refused: " + summary(refused.findings());
             audit.add(AuditEvent.Kind.CONFIGURATION, Long.toString(refused.number()), cause, "", "");
-        } else if (effect instanceof RelayEffect.Raised raised) {
+        } else if (effect instanceof RelayEffect.AlarmRaised raised) {
             LOG.error("configuration alarm " + raised.alarm());
             audit.add(AuditEvent.Kind.CONFIGURATION, "alarm", raised.alarm().toString(), "", "");
         }
