--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitEffect.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.coordination.limit;
 
-/** What the embedder of a {@link LimitHome} or a {@link LimitClient} has to do. */
+/** What the embedder of a {@link LimitOwner} or a {@link LimitClient} has to do. */
 public sealed interface LimitEffect {
     /**
      * Send a message; to the member's own home as well.
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitHome.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitOwner.java
@@ -12,7 +12,7 @@
  * never exceeds the burst plus the rate while they have one home. The state is reconstructible: a new home starts with
  * empty budgets that fill at their rate. Two homes at once, in a partition, lease at most twice the rate.
  */
-public final class LimitHome {
+public final class LimitOwner {
     private final LimitSettings settings;
     private final Map<String, HomeAccount> accounts = new HashMap<>();
     private long forgottenNanos;
@@ -23,7 +23,7 @@
      * @param settings the times
      * @param nowNanos the time
      */
-    public LimitHome(LimitSettings settings, long nowNanos) {
+    public LimitOwner(LimitSettings settings, long nowNanos) {
         this.settings = settings;
         this.forgottenNanos = nowNanos;
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -26,7 +26,7 @@
         private long pausedUntil;
         private String homeView = "entry-0";
         private LimitClient client;
-        private LimitHome home;
+        private LimitOwner home;
         private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
 
         Node(String name, LimitSettings settings) {
@@ -57,7 +57,7 @@
         }
 
         void becomesHome(long now) {
-            home = new LimitHome(settings, now);
+            home = new LimitOwner(settings, now);
             home.hold(CUSTOMER, BUDGET, now);
         }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitHomeTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitHomeTest.java
@@ -9,7 +9,7 @@
 class LimitHomeTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Budget BUDGET = new Budget(new Amount(10, 1_000), new Amount(10, 1_000));
-    private final LimitHome home = new LimitHome(LimitSettings.defaults(), 0);
+    private final LimitOwner home = new LimitOwner(LimitSettings.defaults(), 0);
 
     /** A slice is lost and its want comes again. Taken from the budget twice, half of it would be of use to nobody. */
     @Test
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -17,7 +17,7 @@
 import org.dotterelcourse.coordination.limit.LimitClient;
 import org.dotterelcourse.coordination.limit.LimitCodec;
 import org.dotterelcourse.coordination.limit.LimitEffect;
-import org.dotterelcourse.coordination.limit.LimitHome;
+import org.dotterelcourse.coordination.limit.LimitOwner;
 import org.dotterelcourse.coordination.limit.LimitMessage;
 import org.dotterelcourse.coordination.limit.LimitSettings;
 import org.dotterelcourse.coordination.limit.Taking;
@@ -67,7 +67,7 @@
     private Peers peers;
     private String region;
     private LimitClient client;
-    private LimitHome home;
+    private LimitOwner home;
     private Ownership ownership;
     private Configuration configuration;
 
@@ -90,7 +90,7 @@
         region = peers.region();
         LimitSettings settings = LimitSettings.defaults().withOpening(1);
         client = new LimitClient(peers.incarnation(), settings, this::homeOf);
-        home = new LimitHome(settings, loop.nowNanos());
+        home = new LimitOwner(settings, loop.nowNanos());
         ownership = new Ownership(List.of(), 0, loop.nowNanos());
         peers.registerListener(CHANNEL, this::received);
         peers.onView(this::view);
