--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitHomeTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitOwnerTest.java
@@ -6,7 +6,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LimitHomeTest {
+class LimitOwnerTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Budget BUDGET = new Budget(new Amount(10, 1_000), new Amount(10, 1_000));
     private final LimitOwner home = new LimitOwner(LimitSettings.defaults(), 0);
