--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitOwner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitOwner.java
@@ -35,7 +35,7 @@
      * @param budget its budget
      * @param nowNanos the time
      */
-    public void hold(String customer, Budget budget, long nowNanos) {
+    public void setBudget(String customer, Budget budget, long nowNanos) {
         HomeAccount account = accounts.get(customer);
         if (account == null) {
             accounts.put(customer, new HomeAccount(settings, budget, nowNanos));
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -58,7 +58,7 @@
 
         void becomesHome(long now) {
             home = new LimitOwner(settings, now);
-            home.hold(CUSTOMER, BUDGET, now);
+            home.setBudget(CUSTOMER, BUDGET, now);
         }
 
         void dropsHome() {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitOwnerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitOwnerTest.java
@@ -14,7 +14,7 @@
     /** A slice is lost and its want comes again. Taken from the budget twice, half of it would be of use to nobody. */
     @Test
     void aWantThatComesTwiceGetsTheSameSliceAndCostsItOnce() {
-        home.hold("a", BUDGET, 0);
+        home.setBudget("a", BUDGET, 0);
         LimitMessage.Slice first = lease("entry-1", 1, 1, new Amount(4, 400), SECOND);
 
         assertThat(lease("entry-1", 1, 1, new Amount(4, 400), SECOND)).isEqualTo(first);
@@ -25,7 +25,7 @@
     /** A daemon restarts and starts to count its wants anew. It must not be taken for the old one. */
     @Test
     void aRestartedDaemonIsAnsweredAndItsEarlierLifeIsNot() {
-        home.hold("a", BUDGET, 0);
+        home.setBudget("a", BUDGET, 0);
         lease("entry-1", 1, 7, new Amount(1, 100), SECOND);
 
         assertThat(lease("entry-1", 2, 1, new Amount(1, 100), SECOND).amount()).isEqualTo(new Amount(1, 100));
@@ -35,7 +35,7 @@
     /** One daemon's callers want everything. Those of another daemon must get their part. */
     @Test
     void daemonsThatWantAtTheSameTimeGetEqualParts() {
-        home.hold("a", BUDGET, 0);
+        home.setBudget("a", BUDGET, 0);
         lease("entry-1", 1, 1, Amount.NOTHING, SECOND);
         lease("entry-2", 1, 1, Amount.NOTHING, SECOND);
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -197,7 +197,7 @@
         Optional<Budget> budget = budget(customer);
         boolean ours = homeOf(customer).filter(peers.self()::equals).isPresent();
         if (ours && budget.isPresent()) {
-            home.hold(customer, budget.get(), loop.nowNanos());
+            home.setBudget(customer, budget.get(), loop.nowNanos());
         } else {
             home.drop(customer);
         }
