--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitOwner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitOwner.java
@@ -49,7 +49,7 @@
      *
      * @param customer the customer
      */
-    public void drop(String customer) {
+    public void removeCustomer(String customer) {
         accounts.remove(customer);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -199,7 +199,7 @@
         if (ours && budget.isPresent()) {
             home.setBudget(customer, budget.get(), loop.nowNanos());
         } else {
-            home.drop(customer);
+            home.removeCustomer(customer);
         }
     }
 
