--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitOwner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitOwner.java
@@ -61,7 +61,7 @@
      * @param nowNanos the time
      * @return what to do
      */
-    public List<LimitEffect> on(String from, LimitMessage.Wants message, long nowNanos) {
+    public List<LimitEffect> onMessage(String from, LimitMessage.Wants message, long nowNanos) {
         if (nowNanos - forgottenNanos > settings.forgetNanos()) {
             forgottenNanos = nowNanos;
             accounts.values().forEach(account -> account.forget(nowNanos));
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -133,7 +133,7 @@
                 if (message instanceof LimitMessage.Slices slices) {
                     perform(node, node.client.on(slices, now));
                 } else if (message instanceof LimitMessage.Wants wants && node.home != null) {
-                    perform(node, node.home.on(packet.from(), wants, now));
+                    perform(node, node.home.onMessage(packet.from(), wants, now));
                 }
             }
             perform(node, node.client.advance(now));
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitOwnerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitOwnerTest.java
@@ -29,7 +29,7 @@
         lease("entry-1", 1, 7, new Amount(1, 100), SECOND);
 
         assertThat(lease("entry-1", 2, 1, new Amount(1, 100), SECOND).amount()).isEqualTo(new Amount(1, 100));
-        assertThat(home.on("entry-1", wants(1, 8, new Amount(1, 100)), SECOND)).isEmpty();
+        assertThat(home.onMessage("entry-1", wants(1, 8, new Amount(1, 100)), SECOND)).isEmpty();
     }
 
     /** One daemon's callers want everything. Those of another daemon must get their part. */
@@ -46,7 +46,7 @@
 
     private LimitMessage.Slice lease(String from, long life, long sequence, Amount amount, long now) {
         LimitEffect.Send send = (LimitEffect.Send)
-                home.on(from, wants(life, sequence, amount), now).get(0);
+                home.onMessage(from, wants(life, sequence, amount), now).get(0);
         return ((LimitMessage.Slices) send.message()).slices().get(0);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -188,7 +188,7 @@
             carryOut(client.on(slices, loop.nowNanos()));
         } else if (message instanceof LimitMessage.Wants wants) {
             wants.wants().forEach(want -> holdIfOurs(want.customer()));
-            carryOut(home.on(from, wants, loop.nowNanos()));
+            carryOut(home.onMessage(from, wants, loop.nowNanos()));
         }
     }
 
