--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
@@ -145,7 +145,7 @@
      * @param nowNanos the time
      * @return what to do
      */
-    public List<LimitEffect> on(LimitMessage.Slices message, long nowNanos) {
+    public List<LimitEffect> onMessage(LimitMessage.Slices message, long nowNanos) {
         List<LimitEffect> effects = new ArrayList<>();
         if (message.life() != life) {
             return effects;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -131,7 +131,7 @@
             for (LossyNetwork.Packet packet : packets) {
                 LimitMessage message = ((LimitCodec.Decoded.Message) LimitCodec.decode(packet.body())).message();
                 if (message instanceof LimitMessage.Slices slices) {
-                    perform(node, node.client.on(slices, now));
+                    perform(node, node.client.onMessage(slices, now));
                 } else if (message instanceof LimitMessage.Wants wants && node.home != null) {
                     perform(node, node.home.onMessage(packet.from(), wants, now));
                 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -185,7 +185,7 @@
 
     private void dispatch(String from, LimitMessage message) {
         if (message instanceof LimitMessage.Slices slices) {
-            carryOut(client.on(slices, loop.nowNanos()));
+            carryOut(client.onMessage(slices, loop.nowNanos()));
         } else if (message instanceof LimitMessage.Wants wants) {
             wants.wants().forEach(want -> holdIfOurs(want.customer()));
             carryOut(home.onMessage(from, wants, loop.nowNanos()));
