--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
@@ -60,7 +60,7 @@
      * @param budget its budget
      * @param nowNanos the time
      */
-    public void budget(String customer, Budget budget, long nowNanos) {
+    public void setBudget(String customer, Budget budget, long nowNanos) {
         accounts.computeIfAbsent(customer, name -> new ClientAccount(name, budget, nowNanos))
                 .budget(budget);
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -39,7 +39,7 @@
             inbox.clear();
             client = new LimitClient(
                     life, settings, customer -> Optional.of(homeView).filter(view -> !view.isEmpty()));
-            client.budget(CUSTOMER, BUDGET, now);
+            client.setBudget(CUSTOMER, BUDGET, now);
             client.members(4);
         }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -160,7 +160,7 @@
         Optional<Budget> budget = budget(customer);
         budget.ifPresent(known -> {
             met.add(customer);
-            client.budget(customer, known, loop.nowNanos());
+            client.setBudget(customer, known, loop.nowNanos());
         });
         return budget.isPresent();
     }
@@ -239,7 +239,7 @@
         configuration = next;
         met.removeIf(customer -> {
             Optional<Budget> budget = budget(customer);
-            budget.ifPresent(known -> client.budget(customer, known, loop.nowNanos()));
+            budget.ifPresent(known -> client.setBudget(customer, known, loop.nowNanos()));
             if (budget.isEmpty()) {
                 client.forget(customer);
             }
