--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
@@ -70,7 +70,7 @@
      *
      * @param customer the customer
      */
-    public void forget(String customer) {
+    public void removeCustomer(String customer) {
         active.remove(accounts.remove(customer));
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -241,7 +241,7 @@
             Optional<Budget> budget = budget(customer);
             budget.ifPresent(known -> client.setBudget(customer, known, loop.nowNanos()));
             if (budget.isEmpty()) {
-                client.forget(customer);
+                client.removeCustomer(customer);
             }
             return budget.isEmpty();
         });
