--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
@@ -79,7 +79,7 @@
      *
      * @param live how many there are, this one included
      */
-    public void members(int live) {
+    public void setLiveMembers(int live) {
         members = Math.max(1, live);
     }
 
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -40,7 +40,7 @@
             client = new LimitClient(
                     life, settings, customer -> Optional.of(homeView).filter(view -> !view.isEmpty()));
             client.setBudget(CUSTOMER, BUDGET, now);
-            client.members(4);
+            client.setLiveMembers(4);
         }
 
         void restart(long now) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -230,7 +230,7 @@
 
     private void view(List<Member> members) {
         ownership = new Ownership(members, Peers.SUSPECT_GRACE_NANOS, loop.nowNanos());
-        client.members((int) members.stream()
+        client.setLiveMembers((int) members.stream()
                 .filter(member -> member.state() == MemberState.ALIVE)
                 .count());
     }
