--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
@@ -91,7 +91,7 @@
      * @param nowNanos the time
      * @return whether it is within the budget
      */
-    public Taking take(String customer, long tokens, long nowNanos) {
+    public Taking charge(String customer, long tokens, long nowNanos) {
         ClientAccount account = accounts.get(customer);
         if (account == null) {
             return new Taking.UnknownCustomer();
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -87,7 +87,7 @@
         }
 
         void call(Node node) {
-            Taking taking = node.client.take(CUSTOMER, 20 + random.nextLong(400), now);
+            Taking taking = node.client.charge(CUSTOMER, 20 + random.nextLong(400), now);
             if (taking instanceof Taking.Taken taken) {
                 charged = charged.plus(taken.charged());
                 perform(node, taken.effects());
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -117,9 +117,9 @@
     }
 
     private void take(Waiting call) {
-        Taking taking = client.take(call.customer(), call.tokens(), loop.nowNanos());
+        Taking taking = client.charge(call.customer(), call.tokens(), loop.nowNanos());
         if (taking instanceof Taking.UnknownCustomer && meet(call.customer())) {
-            taking = client.take(call.customer(), call.tokens(), loop.nowNanos());
+            taking = client.charge(call.customer(), call.tokens(), loop.nowNanos());
         }
         if (taking instanceof Taking.Taken taken) {
             call.sink().success(new Charge.Charged(used -> settle(call.customer(), taken.charged(), used)));
