--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
@@ -91,10 +91,10 @@
      * @param nowNanos the time
      * @return whether it is within the budget
      */
-    public Taking charge(String customer, long tokens, long nowNanos) {
+    public ChargeResult charge(String customer, long tokens, long nowNanos) {
         ClientAccount account = accounts.get(customer);
         if (account == null) {
-            return new Taking.UnknownCustomer();
+            return new ChargeResult.UnknownCustomer();
         }
         active.add(account);
         Amount cost = new Amount(1, tokens).atMost(account.budget().burst());
@@ -105,20 +105,20 @@
             if (!account.alone() && !account.balance().covers(cost)) {
                 ask(account, cost, nowNanos, effects);
             }
-            return new Taking.Taken(cost, effects);
+            return new ChargeResult.Taken(cost, effects);
         }
         if (account.alone()) {
-            return new Taking.OverBudget(account.nanosUntilAlone(cost, members, settings.halfLifeNanos(), nowNanos));
+            return new ChargeResult.OverBudget(account.nanosUntilAlone(cost, members, settings.halfLifeNanos(), nowNanos));
         }
         if (account.pending() == null && account.emptyFor(nowNanos) > 0) {
-            return new Taking.OverBudget(account.emptyFor(nowNanos));
+            return new ChargeResult.OverBudget(account.emptyFor(nowNanos));
         }
         if (account.pending() != null) {
             account.unmet(cost);
         }
         ask(account, cost, nowNanos, effects);
         account.waits(true);
-        return new Taking.Waiting(effects);
+        return new ChargeResult.Waiting(effects);
     }
 
     /**
@@ -126,7 +126,7 @@
      * the customer's next call here.
      *
      * @param customer its customer
-     * @param charged what {@link Taking.Taken} charged
+     * @param charged what {@link ChargeResult.Taken} charged
      * @param tokens what it used; 0 if it did not run
      * @param nowNanos the time
      */
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -87,11 +87,11 @@
         }
 
         void call(Node node) {
-            Taking taking = node.client.charge(CUSTOMER, 20 + random.nextLong(400), now);
-            if (taking instanceof Taking.Taken taken) {
+            ChargeResult taking = node.client.charge(CUSTOMER, 20 + random.nextLong(400), now);
+            if (taking instanceof ChargeResult.Taken taken) {
                 charged = charged.plus(taken.charged());
                 perform(node, taken.effects());
-            } else if (taking instanceof Taking.Waiting waiting) {
+            } else if (taking instanceof ChargeResult.Waiting waiting) {
                 perform(node, waiting.effects());
             }
         }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -20,7 +20,7 @@
 import org.dotterelcourse.coordination.limit.LimitOwner;
 import org.dotterelcourse.coordination.limit.LimitMessage;
 import org.dotterelcourse.coordination.limit.LimitSettings;
-import org.dotterelcourse.coordination.limit.Taking;
+import org.dotterelcourse.coordination.limit.ChargeResult;
 import org.dotterelcourse.coordination.membership.Member;
 import org.dotterelcourse.coordination.membership.MemberState;
 import org.dotterelcourse.coordination.ownership.Ownership;
@@ -117,17 +117,17 @@
     }
 
     private void take(Waiting call) {
-        Taking taking = client.charge(call.customer(), call.tokens(), loop.nowNanos());
-        if (taking instanceof Taking.UnknownCustomer && meet(call.customer())) {
+        ChargeResult taking = client.charge(call.customer(), call.tokens(), loop.nowNanos());
+        if (taking instanceof ChargeResult.UnknownCustomer && meet(call.customer())) {
             taking = client.charge(call.customer(), call.tokens(), loop.nowNanos());
         }
-        if (taking instanceof Taking.Taken taken) {
+        if (taking instanceof ChargeResult.Taken taken) {
             call.sink().success(new Charge.Charged(used -> settle(call.customer(), taken.charged(), used)));
             carryOut(taken.effects());
-        } else if (taking instanceof Taking.Waiting waits) {
+        } else if (taking instanceof ChargeResult.Waiting waits) {
             waiting.computeIfAbsent(call.customer(), name -> new ArrayDeque<>()).add(call);
             carryOut(waits.effects());
-        } else if (taking instanceof Taking.OverBudget over) {
+        } else if (taking instanceof ChargeResult.OverBudget over) {
             overBudget(call, over.retryAfterNanos());
         } else {
             // The customer left the configuration between its request's arrival and now.
