--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/ChargeResult.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/ChargeResult.java
@@ -10,7 +10,7 @@
      * @param charged what was charged; to be passed to {@link LimitClient#settle} when the call has ended
      * @param effects what to do
      */
-    record Taken(Amount charged, List<LimitEffect> effects) implements ChargeResult {}
+    record Charged(Amount charged, List<LimitEffect> effects) implements ChargeResult {}
 
     /**
      * The home has been asked. Try again at {@link LimitEffect.Refilled}.
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
@@ -105,7 +105,7 @@
             if (!account.alone() && !account.balance().covers(cost)) {
                 ask(account, cost, nowNanos, effects);
             }
-            return new ChargeResult.Taken(cost, effects);
+            return new ChargeResult.Charged(cost, effects);
         }
         if (account.alone()) {
             return new ChargeResult.OverBudget(account.nanosUntilAlone(cost, members, settings.halfLifeNanos(), nowNanos));
@@ -126,7 +126,7 @@
      * the customer's next call here.
      *
      * @param customer its customer
-     * @param charged what {@link ChargeResult.Taken} charged
+     * @param charged what {@link ChargeResult.Charged} charged
      * @param tokens what it used; 0 if it did not run
      * @param nowNanos the time
      */
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -88,7 +88,7 @@
 
         void call(Node node) {
             ChargeResult taking = node.client.charge(CUSTOMER, 20 + random.nextLong(400), now);
-            if (taking instanceof ChargeResult.Taken taken) {
+            if (taking instanceof ChargeResult.Charged taken) {
                 charged = charged.plus(taken.charged());
                 perform(node, taken.effects());
             } else if (taking instanceof ChargeResult.Waiting waiting) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -121,7 +121,7 @@
         if (taking instanceof ChargeResult.UnknownCustomer && meet(call.customer())) {
             taking = client.charge(call.customer(), call.tokens(), loop.nowNanos());
         }
-        if (taking instanceof ChargeResult.Taken taken) {
+        if (taking instanceof ChargeResult.Charged taken) {
             call.sink().success(new Charge.Charged(used -> settle(call.customer(), taken.charged(), used)));
             carryOut(taken.effects());
         } else if (taking instanceof ChargeResult.Waiting waits) {
