--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/ChargeResult.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/ChargeResult.java
@@ -17,7 +17,7 @@
      *
      * @param effects what to do
      */
-    record Waiting(List<LimitEffect> effects) implements ChargeResult {}
+    record AwaitingSlice(List<LimitEffect> effects) implements ChargeResult {}
 
     /**
      * It is not. It has not been charged and is not to be run.
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
@@ -118,7 +118,7 @@
         }
         ask(account, cost, nowNanos, effects);
         account.waits(true);
-        return new ChargeResult.Waiting(effects);
+        return new ChargeResult.AwaitingSlice(effects);
     }
 
     /**
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -91,7 +91,7 @@
             if (taking instanceof ChargeResult.Charged taken) {
                 charged = charged.plus(taken.charged());
                 perform(node, taken.effects());
-            } else if (taking instanceof ChargeResult.Waiting waiting) {
+            } else if (taking instanceof ChargeResult.AwaitingSlice waiting) {
                 perform(node, waiting.effects());
             }
         }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -124,7 +124,7 @@
         if (taking instanceof ChargeResult.Charged taken) {
             call.sink().success(new Charge.Charged(used -> settle(call.customer(), taken.charged(), used)));
             carryOut(taken.effects());
-        } else if (taking instanceof ChargeResult.Waiting waits) {
+        } else if (taking instanceof ChargeResult.AwaitingSlice waits) {
             waiting.computeIfAbsent(call.customer(), name -> new ArrayDeque<>()).add(call);
             carryOut(waits.effects());
         } else if (taking instanceof ChargeResult.OverBudget over) {
