--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitSettings.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitSettings.java
@@ -41,7 +41,7 @@
      * @param share the part, 0 to 1
      * @return the changed settings
      */
-    public LimitSettings withOpening(double share) {
+    public LimitSettings withInitialFill(double share) {
         return new LimitSettings(
                 sliceNanos, answerTimeoutNanos, silentAfterNanos, halfLifeNanos, idleNanos, forgetNanos, share);
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -187,7 +187,7 @@
      */
     @Property(tries = 30, seed = "37", shrinking = ShrinkingMode.OFF)
     void aHomeThatOpensFullServesTheFirstCallsAndStaysWithinTheBudget(@ForAll long seed) {
-        Fleet fleet = new Fleet(seed, SETTINGS.withOpening(1));
+        Fleet fleet = new Fleet(seed, SETTINGS.withInitialFill(1));
         fleet.run(200 * MILLI, 2);
         assertThat(fleet.charged.requests()).isGreaterThan(20);
         for (int round = 0; round < 50; round++) {
@@ -202,7 +202,7 @@
      */
     @Property(tries = 30, seed = "38", shrinking = ShrinkingMode.OFF)
     void eachHomeThatOpensFullAddsOneBurstAtMost(@ForAll long seed) {
-        Fleet fleet = new Fleet(seed, SETTINGS.withOpening(1));
+        Fleet fleet = new Fleet(seed, SETTINGS.withInitialFill(1));
         fleet.wire.setFaults(0.05, 0.1, 50 * MILLI);
         int homes = 1;
         for (int round = 0; round < 12; round++) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -88,7 +88,7 @@
         loop = kernel.find(ControlLoop.NAME);
         peers = kernel.find(Peers.NAME);
         region = peers.region();
-        LimitSettings settings = LimitSettings.defaults().withOpening(1);
+        LimitSettings settings = LimitSettings.defaults().withInitialFill(1);
         client = new LimitClient(peers.incarnation(), settings, this::homeOf);
         home = new LimitOwner(settings, loop.nowNanos());
         ownership = new Ownership(List.of(), 0, loop.nowNanos());
