--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/Amount.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/Amount.java
@@ -1,14 +1,14 @@
 package org.dotterelcourse.coordination.limit;
 
 /**
- * Some requests and some tokens.
+ * A number of requests and a number of tokens, which are limited together.
  *
- * @param requests how many requests
- * @param tokens how many tokens, of prompts and answers together
+ * @param requests number of requests
+ * @param tokens number of tokens, of prompts and answers together
  */
 public record Amount(long requests, long tokens) {
-    /** Nothing. */
-    public static final Amount NOTHING = new Amount(0, 0);
+    /** No requests and no tokens. */
+    public static final Amount ZERO = new Amount(0, 0);
 
     Amount plus(Amount other) {
         return new Amount(requests + other.requests, tokens + other.tokens);
@@ -22,7 +22,7 @@
         return requests >= other.requests && tokens >= other.tokens;
     }
 
-    Amount atLeastNothing() {
+    Amount atLeastZero() {
         return new Amount(Math.max(0, requests), Math.max(0, tokens));
     }
 
@@ -30,7 +30,7 @@
         return new Amount(Math.min(requests, other.requests), Math.min(tokens, other.tokens));
     }
 
-    boolean isNothing() {
+    boolean isZero() {
         return requests == 0 && tokens == 0;
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/Budget.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/Budget.java
@@ -1,18 +1,18 @@
 package org.dotterelcourse.coordination.limit;
 
 /**
- * What a customer may use: a steady rate, and a burst above it after a quiet time.
+ * Token bucket parameters of a customer: a steady rate, and a burst on top of it after a period of lower use.
  *
- * @param perSecond the rate
- * @param burst how much may be saved up; also the most that one request is charged
+ * @param perSecond requests and tokens per second by which the budget refills
+ * @param burst maximum amount that accumulates; also the maximum that a single request is charged
  */
 public record Budget(Amount perSecond, Amount burst) {
     private static final long MAX = 1_000_000_000L;
 
     /**
-     * Checks the values.
+     * Validates the values.
      *
-     * @throws IllegalArgumentException if a value isn't between 1 and a billion
+     * @throws IllegalArgumentException if a value is not between 1 and 1,000,000,000
      */
     public Budget {
         check(perSecond.requests());
@@ -23,7 +23,7 @@
 
     private static void check(long value) {
         if (value < 1 || value > MAX) {
-            throw new IllegalArgumentException(value + " isn't between 1 and " + MAX);
+            throw new IllegalArgumentException(value + " is not between 1 and " + MAX);
         }
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/ChargeResult.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/ChargeResult.java
@@ -2,30 +2,31 @@
 
 import java.util.List;
 
-/** Whether a call is within its customer's budget. */
+/** Result of charging a call to its customer's budget with {@link LimitClient#charge}. */
 public sealed interface ChargeResult {
     /**
-     * It is, and has been charged.
+     * The call is within the budget and has been charged.
      *
-     * @param charged what was charged; to be passed to {@link LimitClient#settle} when the call has ended
-     * @param effects what to do
+     * @param charged the amount charged, to be passed to {@link LimitClient#settle} when the call has ended
+     * @param effects actions that the embedder must carry out
      */
     record Charged(Amount charged, List<LimitEffect> effects) implements ChargeResult {}
 
     /**
-     * The home has been asked. Try again at {@link LimitEffect.Refilled}.
+     * The call was not charged and waits for a slice from the customer's owner. The embedder must charge it again on
+     * {@link LimitEffect.Refilled}.
      *
-     * @param effects what to do
+     * @param effects actions that the embedder must carry out
      */
     record AwaitingSlice(List<LimitEffect> effects) implements ChargeResult {}
 
     /**
-     * It is not. It has not been charged and is not to be run.
+     * The call exceeds the budget. It was not charged and must not run.
      *
-     * @param retryAfterNanos when it is worth trying again, from now
+     * @param retryAfterNanos nanoseconds from now until a retry can succeed
      */
     record OverBudget(long retryAfterNanos) implements ChargeResult {}
 
-    /** The customer has no budget here. */
+    /** No budget is set for the customer. The call was not charged. */
     record UnknownCustomer() implements ChargeResult {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/ClientAccount.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/ClientAccount.java
@@ -1,42 +1,42 @@
 package org.dotterelcourse.coordination.limit;
 
-/** What one daemon has of one customer's budget. */
+/** One daemon's balance, pending slice request and local mode state for one customer. */
 final class ClientAccount {
     private static final double MILLION = 1_000_000;
     private static final long NONE = Long.MIN_VALUE;
-    private static final double HEADROOM = 1.25;
+    private static final double HEADROOM_FACTOR = 1.25;
 
     private final String customer;
     private Budget budget;
-    private Amount balance = Amount.NOTHING;
-    private Amount used = Amount.NOTHING;
-    private Amount unmet = Amount.NOTHING;
+    private Amount balance = Amount.ZERO;
+    private Amount used = Amount.ZERO;
+    private Amount unmetDemand = Amount.ZERO;
     private long usedSinceNanos;
     private long lastUsedNanos;
     private LimitMessage.Want pending;
     private long sentNanos;
     private long unansweredSinceNanos = NONE;
-    private long emptyUntilNanos;
-    private boolean waiting;
-    private double share;
-    private long aloneSinceNanos = NONE;
-    private Bucket aloneRequests;
-    private Bucket aloneTokens;
-    private double lastPart;
+    private long backoffUntilNanos;
+    private boolean waitingCalls;
+    private double lastShare;
+    private long localSinceNanos = NONE;
+    private TokenBucket localRequests;
+    private TokenBucket localTokens;
+    private double previousLocalShare;
 
     ClientAccount(String customer, Budget budget, long nowNanos) {
         this.customer = customer;
         this.budget = budget;
         this.usedSinceNanos = nowNanos;
         this.lastUsedNanos = nowNanos;
-        this.emptyUntilNanos = nowNanos;
+        this.backoffUntilNanos = nowNanos;
     }
 
     String customer() {
         return customer;
     }
 
-    void budget(Budget changed) {
+    void setBudget(Budget changed) {
         budget = changed;
     }
 
@@ -52,14 +52,14 @@
         return lastUsedNanos;
     }
 
-    /** Whether nothing is left to do for this customer: no calls lately, nothing asked for and nothing to give back. */
-    boolean quiet(long nowNanos, long idleNanos) {
+    /** True if there were no calls within the idle time, no request is pending and no balance is left to return. */
+    boolean isInactive(long nowNanos, long idleNanos) {
         boolean idle = nowNanos - lastUsedNanos > idleNanos;
         return idle
                 && pending == null
-                && !waiting
-                && !alone()
-                && balance.atLeastNothing().isNothing();
+                && !waitingCalls
+                && !isLocalMode()
+                && balance.atLeastZero().isZero();
     }
 
     LimitMessage.Want pending() {
@@ -70,134 +70,139 @@
         return sentNanos;
     }
 
-    void sent(long nowNanos) {
+    void markSent(long nowNanos) {
         sentNanos = nowNanos;
         if (unansweredSinceNanos == NONE) {
             unansweredSinceNanos = nowNanos;
         }
     }
 
-    boolean unansweredFor(long nanos, long nowNanos) {
+    boolean isUnansweredFor(long nanos, long nowNanos) {
         return unansweredSinceNanos != NONE && nowNanos - unansweredSinceNanos >= nanos;
     }
 
-    boolean alone() {
-        return aloneSinceNanos != NONE;
+    boolean isLocalMode() {
+        return localSinceNanos != NONE;
     }
 
-    void waits(boolean someCallWaits) {
-        waiting = someCallWaits;
+    void setWaitingCalls(boolean waiting) {
+        waitingCalls = waiting;
     }
 
-    boolean waits() {
-        return waiting;
+    boolean hasWaitingCalls() {
+        return waitingCalls;
     }
 
-    /** Notes a call that waits for an answer which was asked for before it came. */
-    void unmet(Amount cost) {
-        unmet = unmet.plus(cost);
+    /** Records the cost of a call that waits for a slice requested before the call arrived. */
+    void addUnmetDemand(Amount cost) {
+        unmetDemand = unmetDemand.plus(cost);
     }
 
-    /** How long the home has said that there is nothing; 0 if it may be asked. */
-    long emptyFor(long nowNanos) {
-        return Math.max(0, emptyUntilNanos - nowNanos);
+    /** Nanoseconds until a slice may be requested again after the owner's budget was exhausted; 0 if it may be now. */
+    long remainingBackoffNanos(long nowNanos) {
+        return Math.max(0, backoffUntilNanos - nowNanos);
     }
 
-    /** Charges a call if the balance covers it. */
-    boolean take(Amount cost, long nowNanos) {
+    /** Charges a call if the balance covers its cost. */
+    boolean tryCharge(Amount cost, long nowNanos) {
         if (!balance.covers(cost)) {
             return false;
         }
-        spend(cost, nowNanos);
+        charge(cost, nowNanos);
         return true;
     }
 
-    /** Charges what a call used beyond its estimate, or less. The balance may go below nothing: a debt. */
-    void spend(Amount cost, long nowNanos) {
+    /**
+     * Charges a call's estimated cost, or the difference to its actual cost, which may be negative. The balance may
+     * become negative: such a debt is paid from the next slice.
+     */
+    void charge(Amount cost, long nowNanos) {
         balance = balance.minus(cost);
         used = used.plus(cost);
         lastUsedNanos = nowNanos;
     }
 
-    /** How much to ask for: what a slice's time of use needs, the next call's cost, and what is owed. */
-    Amount demand(Amount next, long sliceNanos, long nowNanos) {
+    /**
+     * Returns the amount to request: the expected use within a slice's period with headroom, plus the cost of the next
+     * call, less the balance or plus the debt. Restarts the measurement of the use.
+     */
+    Amount takeDemand(Amount next, long sliceNanos, long nowNanos) {
         double elapsed = Math.max(sliceNanos, nowNanos - usedSinceNanos);
-        double factor = HEADROOM * sliceNanos / elapsed;
+        double factor = HEADROOM_FACTOR * sliceNanos / elapsed;
         Amount expected = new Amount((long) (used.requests() * factor), (long) (used.tokens() * factor));
-        used = Amount.NOTHING;
+        used = Amount.ZERO;
         usedSinceNanos = nowNanos;
-        return expected.atLeastNothing()
-                .plus(next)
-                .minus(balance)
-                .atLeastNothing()
-                .atMost(budget.burst());
+        return expected.atLeastZero().plus(next).minus(balance).atLeastZero().atMost(budget.burst());
     }
 
-    void asks(LimitMessage.Want want) {
+    void markPending(LimitMessage.Want want) {
         pending = want;
         balance = balance.minus(want.returned());
     }
 
-    /** Takes a slice in, once; false if it doesn't answer what is pending. */
-    boolean received(LimitMessage.Slice slice, long nowNanos) {
+    /** Adds a slice to the balance. Returns false if it does not answer the pending request, as a duplicate does. */
+    boolean applySlice(LimitMessage.Slice slice, long nowNanos) {
         if (pending == null || slice.sequence() != pending.sequence()) {
             return false;
         }
         pending = null;
         unansweredSinceNanos = NONE;
         balance = balance.plus(slice.amount());
-        share = slice.shareMillionths() / MILLION;
-        emptyUntilNanos = nowNanos + slice.retryAfterNanos();
+        lastShare = slice.shareMillionths() / MILLION;
+        backoffUntilNanos = nowNanos + slice.retryAfterNanos();
         return true;
     }
 
-    /** Starts to spend alone, from what is left of the last slice. */
-    void goAlone(long nowNanos) {
-        aloneSinceNanos = nowNanos;
-        lastPart = share;
-        aloneRequests = new Bucket(budget.burst().requests(), 0, nowNanos);
-        aloneTokens = new Bucket(budget.burst().tokens(), 0, nowNanos);
+    /** Switches to local mode with the rest of the last slice as balance. */
+    void enterLocalMode(long nowNanos) {
+        localSinceNanos = nowNanos;
+        previousLocalShare = lastShare;
+        localRequests = new TokenBucket(budget.burst().requests(), 0, nowNanos);
+        localTokens = new TokenBucket(budget.burst().tokens(), 0, nowNanos);
     }
 
-    void notAlone() {
-        aloneSinceNanos = NONE;
-        aloneRequests = null;
-        aloneTokens = null;
+    void leaveLocalMode() {
+        localSinceNanos = NONE;
+        localRequests = null;
+        localTokens = null;
     }
 
     /**
-     * Moves what has come in while alone to the balance. The part of the budget rises or falls all the time between two
-     * calls, so the lower of its ends is used; the higher one would let the members exceed the budget together.
+     * Refills the local token buckets and moves their content to the balance. The share changes monotonically between
+     * two calls, so the lower of its two values is used; with the higher one, the members together would exceed the
+     * budget.
      */
-    void fillAlone(int members, long halfLifeNanos, long nowNanos) {
-        double now = part(members, halfLifeNanos, nowNanos);
-        double part = Math.min(lastPart, now);
-        lastPart = now;
-        aloneRequests.fill(part * budget.perSecond().requests(), nowNanos);
-        aloneTokens.fill(part * budget.perSecond().tokens(), nowNanos);
-        Amount room = budget.burst().minus(balance).atLeastNothing();
-        Amount moved = new Amount(aloneRequests.units(), aloneTokens.units()).atMost(room);
-        aloneRequests.take(moved.requests());
-        aloneTokens.take(moved.tokens());
+    void refillLocal(int members, long halfLifeNanos, long nowNanos) {
+        double current = localShare(members, halfLifeNanos, nowNanos);
+        double lower = Math.min(previousLocalShare, current);
+        previousLocalShare = current;
+        localRequests.refill(lower * budget.perSecond().requests(), nowNanos);
+        localTokens.refill(lower * budget.perSecond().tokens(), nowNanos);
+        Amount capacity = budget.burst().minus(balance).atLeastZero();
+        Amount moved = new Amount(localRequests.available(), localTokens.available()).atMost(capacity);
+        localRequests.take(moved.requests());
+        localTokens.take(moved.tokens());
         balance = balance.plus(moved);
     }
 
-    long nanosUntilAlone(Amount cost, int members, long halfLifeNanos, long nowNanos) {
-        double part = Math.max(part(members, halfLifeNanos, nowNanos), 0.1 / members);
-        Amount missing = cost.minus(balance).atLeastNothing();
+    /** Nanoseconds until the balance covers {@code cost} in local mode. */
+    long nanosUntilLocal(Amount cost, int members, long halfLifeNanos, long nowNanos) {
+        double share = Math.max(localShare(members, halfLifeNanos, nowNanos), 0.1 / members);
+        Amount missing = cost.minus(balance).atLeastZero();
         return Math.max(
-                aloneRequests.nanosUntil(
-                        missing.requests(), part * budget.perSecond().requests()),
-                aloneTokens.nanosUntil(
-                        missing.tokens(), part * budget.perSecond().tokens()));
+                localRequests.nanosUntil(
+                        missing.requests(), share * budget.perSecond().requests()),
+                localTokens.nanosUntil(
+                        missing.tokens(), share * budget.perSecond().tokens()));
     }
 
     /**
-     * The part of the budget when alone: at first the last share, in the end an equal one. All shares add up to one at
-     * most, and so do all equal parts; hence all parts do at any time if all members went alone together.
+     * The share of the budget in local mode, which decays from the last share received to an equal share. The last
+     * shares of all members add up to at most 1, and so do equal shares. Members that enter local mode at the same time
+     * therefore never exceed the budget together.
      */
-    private double part(int members, long halfLifeNanos, long nowNanos) {
-        double kept = Math.pow(0.5, (double) (nowNanos - aloneSinceNanos) / halfLifeNanos);
-        return share * kept + (1 - kept) / members;
+    private double localShare(int members, long halfLifeNanos, long nowNanos) {
+        double decay = Math.pow(0.5, (double) (nowNanos - localSinceNanos) / halfLifeNanos);
+        return lastShare * decay + (1 - decay) / members;
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitClient.java
@@ -9,64 +9,64 @@
 import java.util.Set;
 
 /**
- * Charges customers' calls to slices of their budgets, which it gets from the customers' homes.
+ * Charges customers' calls to slices of their budgets, which it leases from the customers' owners.
  *
- * <p>A daemon whose home doesn't answer goes on alone with its last share of the budget, which decays to an equal part
- * for each member; when the home answers again, it stops. Refusing instead would turn calls away because one daemon is gone.
- * The last shares add up to the budget at most and so do equal parts, so members that went alone together stay within
- * the budget, and members that went alone at different times, or beside a home that others reach, within twice its
- * rate.
+ * <p>A client whose owner does not answer switches to local mode: it spends its last share of the budget, which decays
+ * to an equal share per member, until the owner answers again. Without local mode, the failure of one daemon would
+ * cause the rejection of its customers' calls at all daemons. The last shares add up to at most the budget, and so do
+ * equal shares, so members that enter local mode at the same time stay within the budget together. Members that enter
+ * it at different times, or while other members still reach the owner, stay within twice the rate.
  */
 public final class LimitClient {
-    private static final int BATCH = 256;
+    private static final int MAX_WANTS_PER_MESSAGE = 256;
 
     private final long life;
     private final LimitSettings settings;
-    private final Homes homes;
+    private final OwnerLookup owners;
     private final Map<String, ClientAccount> accounts = new HashMap<>();
     private final Set<ClientAccount> active = new LinkedHashSet<>();
-    private int members = 1;
+    private int liveMembers = 1;
     private long lastSequence;
 
     /**
-     * Makes a client without customers.
+     * Creates a client without customers.
      *
-     * @param life the incarnation with which this process started
-     * @param settings the times
-     * @param homes tells where customers' homes are
+     * @param life incarnation number with which this process started
+     * @param settings timeouts and limits
+     * @param owners finds the current owners of customers
      */
-    public LimitClient(long life, LimitSettings settings, Homes homes) {
+    public LimitClient(long life, LimitSettings settings, OwnerLookup owners) {
         this.life = life;
         this.settings = settings;
-        this.homes = homes;
+        this.owners = owners;
     }
 
-    /** Tells where customers' homes are, by what the daemon knows now. */
+    /** Finds the current owners of customers in this daemon's membership view. */
     @FunctionalInterface
-    public interface Homes {
+    public interface OwnerLookup {
         /**
-         * Finds a customer's home.
+         * Finds a customer's owner.
          *
          * @param customer the customer
-         * @return the home's member name; empty if none is known
+         * @return member name of the owner; empty if there is none
          */
-        Optional<String> homeOf(String customer);
+        Optional<String> ownerOf(String customer);
     }
 
     /**
-     * A customer's budget is known or has changed.
+     * Sets the budget of a new customer, or changes that of an existing one.
      *
      * @param customer the customer
-     * @param budget its budget
-     * @param nowNanos the time
+     * @param budget the customer's budget
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void setBudget(String customer, Budget budget, long nowNanos) {
         accounts.computeIfAbsent(customer, name -> new ClientAccount(name, budget, nowNanos))
-                .budget(budget);
+                .setBudget(budget);
     }
 
     /**
-     * A customer is gone from the configuration.
+     * Removes a customer that is no longer configured.
      *
      * @param customer the customer
      */
@@ -75,21 +75,21 @@
     }
 
     /**
-     * The number of live members has changed.
+     * Sets the number of live members, by which the budget is divided in local mode.
      *
-     * @param live how many there are, this one included
+     * @param live number of live members, this one included
      */
     public void setLiveMembers(int live) {
-        members = Math.max(1, live);
+        liveMembers = Math.max(1, live);
     }
 
     /**
-     * A call has arrived.
+     * Charges an arriving call to its customer's budget.
      *
-     * @param customer its customer
-     * @param tokens the estimate of its prompt and answer; above the burst, the burst is charged
-     * @param nowNanos the time
-     * @return whether it is within the budget
+     * @param customer the call's customer
+     * @param tokens estimated number of tokens of the prompt and the answer; at most the burst is charged
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return whether the call was charged, must wait or is over the budget
      */
     public ChargeResult charge(String customer, long tokens, long nowNanos) {
         ClientAccount account = accounts.get(customer);
@@ -98,52 +98,53 @@
         }
         active.add(account);
         Amount cost = new Amount(1, tokens).atMost(account.budget().burst());
-        fillAlone(account, nowNanos);
+        refillLocal(account, nowNanos);
         List<LimitEffect> effects = new ArrayList<>();
-        if (account.take(cost, nowNanos)) {
-            // Asks ahead, so that steady use rarely has to wait for the home.
-            if (!account.alone() && !account.balance().covers(cost)) {
-                ask(account, cost, nowNanos, effects);
+        if (account.tryCharge(cost, nowNanos)) {
+            // Requests the next slice in advance, so that calls under steady load rarely wait for the owner.
+            if (!account.isLocalMode() && !account.balance().covers(cost)) {
+                requestSlice(account, cost, nowNanos, effects);
             }
             return new ChargeResult.Charged(cost, effects);
         }
-        if (account.alone()) {
-            return new ChargeResult.OverBudget(account.nanosUntilAlone(cost, members, settings.halfLifeNanos(), nowNanos));
+        if (account.isLocalMode()) {
+            return new ChargeResult.OverBudget(
+                    account.nanosUntilLocal(cost, liveMembers, settings.halfLifeNanos(), nowNanos));
         }
-        if (account.pending() == null && account.emptyFor(nowNanos) > 0) {
-            return new ChargeResult.OverBudget(account.emptyFor(nowNanos));
+        if (account.pending() == null && account.remainingBackoffNanos(nowNanos) > 0) {
+            return new ChargeResult.OverBudget(account.remainingBackoffNanos(nowNanos));
         }
         if (account.pending() != null) {
-            account.unmet(cost);
+            account.addUnmetDemand(cost);
         }
-        ask(account, cost, nowNanos, effects);
-        account.waits(true);
+        requestSlice(account, cost, nowNanos, effects);
+        account.setWaitingCalls(true);
         return new ChargeResult.AwaitingSlice(effects);
     }
 
     /**
-     * A call has ended and its true cost is known. What it used beyond the estimate becomes a debt that is paid before
-     * the customer's next call here.
+     * Corrects the charge of an ended call to its actual cost. If the call used more than the estimate, the difference
+     * becomes a debt that is paid before the customer's next call at this daemon.
      *
-     * @param customer its customer
-     * @param charged what {@link ChargeResult.Charged} charged
-     * @param tokens what it used; 0 if it did not run
-     * @param nowNanos the time
+     * @param customer the call's customer
+     * @param charged the amount from {@link ChargeResult.Charged}
+     * @param tokens number of tokens that the call used; 0 if it did not run
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void settle(String customer, Amount charged, long tokens, long nowNanos) {
         ClientAccount account = accounts.get(customer);
         if (account != null) {
             active.add(account);
-            account.spend(new Amount(0, tokens - charged.tokens()), nowNanos);
+            account.charge(new Amount(0, tokens - charged.tokens()), nowNanos);
         }
     }
 
     /**
-     * A message has arrived.
+     * Handles a message from an owner.
      *
      * @param message the message
-     * @param nowNanos the time
-     * @return what to do
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out
      */
     public List<LimitEffect> onMessage(LimitMessage.Slices message, long nowNanos) {
         List<LimitEffect> effects = new ArrayList<>();
@@ -152,103 +153,107 @@
         }
         for (LimitMessage.Slice slice : message.slices()) {
             ClientAccount account = accounts.get(slice.customer());
-            if (account != null && account.received(slice, nowNanos)) {
-                account.notAlone();
-                wake(account, effects);
+            if (account != null && account.applySlice(slice, nowNanos)) {
+                account.leaveLocalMode();
+                notifyWaitingCalls(account, effects);
             }
         }
         return effects;
     }
 
     /**
-     * Time has passed. To be called every few tens of milliseconds.
+     * Advances timers: sends unanswered requests again, returns idle slices and switches to local mode. Must be called
+     * every few tens of milliseconds.
      *
-     * @param nowNanos the time
-     * @return what to do
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out
      */
     public List<LimitEffect> advance(long nowNanos) {
         List<LimitEffect> effects = new ArrayList<>();
-        Map<String, List<LimitMessage.Want>> byHome = new HashMap<>();
-        active.removeIf(account -> account.quiet(nowNanos, settings.idleNanos()));
+        Map<String, List<LimitMessage.Want>> wantsByOwner = new HashMap<>();
+        active.removeIf(account -> account.isInactive(nowNanos, settings.idleNanos()));
         for (ClientAccount account : active) {
-            if (!account.alone() && account.unansweredFor(settings.silentAfterNanos(), nowNanos)) {
-                account.goAlone(nowNanos);
+            if (!account.isLocalMode() && account.isUnansweredFor(settings.localAfterNanos(), nowNanos)) {
+                account.enterLocalMode(nowNanos);
             }
-            if (account.alone()) {
-                wake(account, effects);
+            if (account.isLocalMode()) {
+                notifyWaitingCalls(account, effects);
             }
-            LimitMessage.Want due = due(account, nowNanos);
-            Optional<String> home = due == null ? Optional.empty() : homes.homeOf(account.customer());
-            if (home.isPresent()) {
-                byHome.computeIfAbsent(home.get(), name -> new ArrayList<>()).add(due);
+            LimitMessage.Want due = dueWant(account, nowNanos);
+            Optional<String> owner = due == null ? Optional.empty() : owners.ownerOf(account.customer());
+            if (owner.isPresent()) {
+                wantsByOwner
+                        .computeIfAbsent(owner.get(), name -> new ArrayList<>())
+                        .add(due);
             }
         }
-        byHome.forEach((home, wants) -> send(home, wants, effects));
+        wantsByOwner.forEach((owner, wants) -> send(owner, wants, effects));
         return effects;
     }
 
     /**
-     * Whether a customer's budget is spent without its home.
+     * Returns true if a customer's budget is spent in local mode because the owner does not answer.
      *
      * @param customer the customer
-     * @return true if the home doesn't answer
+     * @return true in local mode; false if the owner answers or the customer is unknown
      */
-    public boolean alone(String customer) {
+    public boolean isLocalMode(String customer) {
         ClientAccount account = accounts.get(customer);
-        return account != null && account.alone();
+        return account != null && account.isLocalMode();
     }
 
-    /** The want that has to go out now: one that was not answered in time, or the return of an idle slice. */
-    private LimitMessage.Want due(ClientAccount account, long nowNanos) {
+    /** The request to send now: one that was not answered in time, or the return of an idle slice; null if none. */
+    private LimitMessage.Want dueWant(ClientAccount account, long nowNanos) {
         if (account.pending() != null) {
-            long timeout = account.alone() ? settings.silentAfterNanos() : settings.answerTimeoutNanos();
+            long timeout = account.isLocalMode() ? settings.localAfterNanos() : settings.answerTimeoutNanos();
             if (nowNanos - account.sentNanos() < timeout) {
                 return null;
             }
-            account.sent(nowNanos);
+            account.markSent(nowNanos);
             return account.pending();
         }
         boolean idle = nowNanos - account.lastUsedNanos() > settings.idleNanos();
-        Amount rest = account.balance().atLeastNothing();
-        if (!idle || rest.isNothing()) {
+        Amount rest = account.balance().atLeastZero();
+        if (!idle || rest.isZero()) {
             return null;
         }
-        return want(account, Amount.NOTHING, rest, nowNanos);
+        return newWant(account, Amount.ZERO, rest, nowNanos);
     }
 
-    private void ask(ClientAccount account, Amount next, long nowNanos, List<LimitEffect> effects) {
-        if (account.pending() != null || account.emptyFor(nowNanos) > 0) {
+    private void requestSlice(ClientAccount account, Amount next, long nowNanos, List<LimitEffect> effects) {
+        if (account.pending() != null || account.remainingBackoffNanos(nowNanos) > 0) {
             return;
         }
-        Amount amount = account.demand(next, settings.sliceNanos(), nowNanos);
-        LimitMessage.Want want = want(account, amount, Amount.NOTHING, nowNanos);
-        homes.homeOf(account.customer()).ifPresent(home -> send(home, List.of(want), effects));
+        Amount amount = account.takeDemand(next, settings.sliceNanos(), nowNanos);
+        LimitMessage.Want want = newWant(account, amount, Amount.ZERO, nowNanos);
+        owners.ownerOf(account.customer()).ifPresent(owner -> send(owner, List.of(want), effects));
     }
 
-    private LimitMessage.Want want(ClientAccount account, Amount amount, Amount returned, long nowNanos) {
+    private LimitMessage.Want newWant(ClientAccount account, Amount amount, Amount returned, long nowNanos) {
         lastSequence++;
         LimitMessage.Want want = new LimitMessage.Want(account.customer(), lastSequence, amount, returned);
-        account.asks(want);
-        account.sent(nowNanos);
+        account.markPending(want);
+        account.markSent(nowNanos);
         return want;
     }
 
-    private void send(String home, List<LimitMessage.Want> wants, List<LimitEffect> effects) {
-        for (int from = 0; from < wants.size(); from += BATCH) {
-            List<LimitMessage.Want> batch = List.copyOf(wants.subList(from, Math.min(wants.size(), from + BATCH)));
-            effects.add(new LimitEffect.Send(home, new LimitMessage.Wants(life, batch)));
+    private void send(String owner, List<LimitMessage.Want> wants, List<LimitEffect> effects) {
+        for (int from = 0; from < wants.size(); from += MAX_WANTS_PER_MESSAGE) {
+            List<LimitMessage.Want> batch =
+                    List.copyOf(wants.subList(from, Math.min(wants.size(), from + MAX_WANTS_PER_MESSAGE)));
+            effects.add(new LimitEffect.Send(owner, new LimitMessage.Wants(life, batch)));
         }
     }
 
-    private void fillAlone(ClientAccount account, long nowNanos) {
-        if (account.alone()) {
-            account.fillAlone(members, settings.halfLifeNanos(), nowNanos);
+    private void refillLocal(ClientAccount account, long nowNanos) {
+        if (account.isLocalMode()) {
+            account.refillLocal(liveMembers, settings.halfLifeNanos(), nowNanos);
         }
     }
 
-    private static void wake(ClientAccount account, List<LimitEffect> effects) {
-        if (account.waits()) {
-            account.waits(false);
+    private static void notifyWaitingCalls(ClientAccount account, List<LimitEffect> effects) {
+        if (account.hasWaitingCalls()) {
+            account.setWaitingCalls(false);
             effects.add(new LimitEffect.Refilled(account.customer()));
         }
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitCodec.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitCodec.java
@@ -7,11 +7,11 @@
 import org.dotterelcourse.coordination.limit.generated.LimitProtos;
 import org.dotterelcourse.coordination.limit.generated.LimitProtos.LimitPacket;
 
-/** Encodes {@link LimitMessage} by Protocol Buffers; see {@code limits.proto}. */
+/** Encodes and decodes {@link LimitMessage} as Protocol Buffers, see {@code limits.proto}. */
 public final class LimitCodec {
     private LimitCodec() {}
 
-    /** The result of decoding. */
+    /** Result of decoding. */
     public sealed interface Decoded {
         /**
          * A well-formed message.
@@ -21,9 +21,9 @@
         record Message(LimitMessage message) implements Decoded {}
 
         /**
-         * Bytes that are no message of this protocol.
+         * Bytes that are not a valid message of this protocol.
          *
-         * @param reason what is wrong
+         * @param reason description of the error
          */
         record Malformed(String reason) implements Decoded {}
     }
@@ -32,7 +32,7 @@
      * Encodes a message.
      *
      * @param message the message
-     * @return the body for the channel {@code limits}
+     * @return the encoded message, a body of the peer channel {@code limits}
      */
     public static byte[] encode(LimitMessage message) {
         LimitPacket.Builder packet = LimitPacket.newBuilder();
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Decodes a body of the channel {@code limits}.
+     * Decodes a body of the peer channel {@code limits}.
      *
-     * @param body the bytes
-     * @return the message, or why there is none
+     * @param body the encoded message
+     * @return the message, or the reason why the body is malformed
      */
     public static Decoded decode(byte[] body) {
         LimitPacket packet;
@@ -61,7 +61,7 @@
         }
         boolean wants = packet.getWantsCount() > 0;
         if (wants == packet.getSlicesCount() > 0) {
-            return new Decoded.Malformed("the packet must have either wants or slices");
+            return new Decoded.Malformed("packet must contain either wants or slices");
         }
         return new Decoded.Message(wants ? readWants(packet) : readSlices(packet));
     }
@@ -113,8 +113,8 @@
         return new LimitMessage.Slices(packet.getLife(), slices);
     }
 
-    /** A negative amount from a faulty peer would add to the budget when it is taken away. */
+    /** Replaces negative values by 0. Deducting a negative amount from a faulty peer would increase the budget. */
     private static Amount amount(long requests, long tokens) {
-        return new Amount(requests, tokens).atLeastNothing();
+        return new Amount(requests, tokens).atLeastZero();
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitEffect.java
@@ -1,17 +1,17 @@
 package org.dotterelcourse.coordination.limit;
 
-/** What the embedder of a {@link LimitOwner} or a {@link LimitClient} has to do. */
+/** An action that the embedder of a {@link LimitOwner} or a {@link LimitClient} must carry out. */
 public sealed interface LimitEffect {
     /**
-     * Send a message; to the member's own home as well.
+     * Send a message. The receiver may be this member itself.
      *
-     * @param to the receiver's member name
+     * @param to member name of the receiver
      * @param message the message
      */
     record Send(String to, LimitMessage message) implements LimitEffect {}
 
     /**
-     * The customer's waiting calls may be tried again.
+     * Charge the customer's waiting calls again.
      *
      * @param customer the customer
      */
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitMessage.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitMessage.java
@@ -2,43 +2,44 @@
 
 import java.util.List;
 
-/** A message between a daemon that takes customers' calls and a home of some of them. */
+/** A message between a daemon that receives calls of customers and the owner of some of these customers. */
 public sealed interface LimitMessage {
     /**
-     * To the home.
+     * Requests slices from an owner.
      *
-     * @param life the incarnation with which the asking daemon's process started
-     * @param wants what it wants, at most one for each customer
+     * @param life incarnation number with which the client's process started
+     * @param wants the requests, at most one per customer
      */
     record Wants(long life, List<Want> wants) implements LimitMessage {}
 
     /**
-     * From the home.
+     * The owner's reply to {@link Wants}.
      *
-     * @param life the life of the daemon that is meant
-     * @param slices what it gets
+     * @param life incarnation number from the request; a client ignores replies to an earlier incarnation
+     * @param slices the leased slices
      */
     record Slices(long life, List<Slice> slices) implements LimitMessage {}
 
     /**
-     * Asks for a slice, or gives the rest of one back.
+     * Requests a slice of a customer's budget, or returns the unused rest of one.
      *
      * @param customer the customer
-     * @param sequence rises with each want of this daemon; one that is sent again keeps it
-     * @param amount how much is wanted
-     * @param returned how much is given back
+     * @param sequence sequence number, which increases with each request of the client; a retransmission keeps it
+     * @param amount the amount requested
+     * @param returned the amount returned to the budget
      */
     record Want(String customer, long sequence, Amount amount, Amount returned) {}
 
     /**
-     * Answers a {@link Want}.
+     * The reply to a {@link Want}.
      *
      * @param customer the customer
-     * @param sequence the want's number
-     * @param amount how much the daemon may spend in addition to what it has
-     * @param shareMillionths its part of the budget if the home can't be reached, in millionths; the parts of all
-     *     daemons add up to a million at most
-     * @param retryAfterNanos if less was given than wanted, when there will be more
+     * @param sequence sequence number of the request
+     * @param amount the amount leased, which the client may spend in addition to its balance
+     * @param shareMillionths millionths of the budget that the client may spend in local mode, while the owner does not
+     *     answer; the shares of all clients add up to at most a million
+     * @param retryAfterNanos nanoseconds until the budget has refilled by the amount that was requested but not leased;
+     *     0 if all of it was leased
      */
     record Slice(String customer, long sequence, Amount amount, int shareMillionths, long retryAfterNanos) {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitOwner.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitOwner.java
@@ -6,46 +6,48 @@
 import java.util.Map;
 
 /**
- * Leases out the budgets of the customers whose home this daemon is.
+ * Owner of some customers' budgets, which it leases in slices to the clients.
  *
- * <p>Every slice is taken from the budget before it is sent, and a daemon spends only slices, so what all daemons spend
- * never exceeds the burst plus the rate while they have one home. The state is reconstructible: a new home starts with
- * empty budgets that fill at their rate. Two homes at once, in a partition, lease at most twice the rate.
+ * <p>Each slice is deducted from the budget before it is sent, and clients spend only slices. With a single owner, the
+ * total spent therefore never exceeds the burst plus the rate. The state is not replicated: a new owner starts with
+ * token buckets at the initial fill level, which refill at their rate. During a partition, two owners together lease at
+ * most twice the rate.
  */
 public final class LimitOwner {
     private final LimitSettings settings;
-    private final Map<String, HomeAccount> accounts = new HashMap<>();
-    private long forgottenNanos;
+    private final Map<String, OwnerAccount> accounts = new HashMap<>();
+    private long lastExpiryNanos;
 
     /**
-     * Makes a home without customers.
+     * Creates an owner without customers.
      *
-     * @param settings the times
-     * @param nowNanos the time
+     * @param settings timeouts and limits
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public LimitOwner(LimitSettings settings, long nowNanos) {
         this.settings = settings;
-        this.forgottenNanos = nowNanos;
+        this.lastExpiryNanos = nowNanos;
     }
 
     /**
-     * This daemon is or becomes the home of a customer, or the customer's budget has changed.
+     * Sets the budget of a customer that this daemon owns. The first call for a customer creates its token buckets;
+     * later calls change the budget.
      *
      * @param customer the customer
-     * @param budget its budget
-     * @param nowNanos the time
+     * @param budget the customer's budget
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void setBudget(String customer, Budget budget, long nowNanos) {
-        HomeAccount account = accounts.get(customer);
+        OwnerAccount account = accounts.get(customer);
         if (account == null) {
-            accounts.put(customer, new HomeAccount(settings, budget, nowNanos));
+            accounts.put(customer, new OwnerAccount(settings, budget, nowNanos));
         } else {
-            account.budget(budget, nowNanos);
+            account.setBudget(budget, nowNanos);
         }
     }
 
     /**
-     * This daemon is no longer the home of a customer.
+     * Removes a customer that this daemon no longer owns.
      *
      * @param customer the customer
      */
@@ -54,21 +56,21 @@
     }
 
     /**
-     * A message has arrived. Wants for customers whose home is elsewhere aren't answered.
+     * Handles a message from a client. Requests for customers that this daemon does not own are not answered.
      *
-     * @param from the sender's member name
+     * @param from member name of the sender
      * @param message the message
-     * @param nowNanos the time
-     * @return what to do
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return actions that the embedder must carry out
      */
     public List<LimitEffect> onMessage(String from, LimitMessage.Wants message, long nowNanos) {
-        if (nowNanos - forgottenNanos > settings.forgetNanos()) {
-            forgottenNanos = nowNanos;
-            accounts.values().forEach(account -> account.forget(nowNanos));
+        if (nowNanos - lastExpiryNanos > settings.clientExpiryNanos()) {
+            lastExpiryNanos = nowNanos;
+            accounts.values().forEach(account -> account.expireClients(nowNanos));
         }
         List<LimitMessage.Slice> slices = new ArrayList<>();
         for (LimitMessage.Want want : message.wants()) {
-            HomeAccount account = accounts.get(want.customer());
+            OwnerAccount account = accounts.get(want.customer());
             LimitMessage.Slice slice = account == null ? null : account.lease(from, message.life(), want, nowNanos);
             if (slice != null) {
                 slices.add(slice);
@@ -81,9 +83,9 @@
     }
 
     /**
-     * Customers whose home this is.
+     * Number of customers that this daemon owns.
      *
-     * @return how many
+     * @return the number
      */
     public int size() {
         return accounts.size();
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitSettings.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/limit/LimitSettings.java
@@ -1,48 +1,54 @@
 package org.dotterelcourse.coordination.limit;
 
 /**
- * Times of the limits' protocol, in nanoseconds.
+ * Timeouts and limits of the protocol between {@link LimitClient} and {@link LimitOwner}. All times are in nanoseconds.
  *
- * @param sliceNanos how much time's worth of use a daemon asks for at once
- * @param answerTimeoutNanos after how long an unanswered want is sent again
- * @param silentAfterNanos after how long without an answer a daemon goes on alone
- * @param halfLifeNanos how fast a daemon alone moves from its last share to an equal one
- * @param idleNanos after how long without calls a daemon gives the rest of a slice back
- * @param forgetNanos after how long without a want the home forgets a daemon's share
- * @param opening the part of a customer's burst that a new home starts with, 0 to 1; each new home can add as much to
- *     what the customer is charged
+ * @param sliceNanos period of use that a requested slice should cover
+ * @param answerTimeoutNanos time after which an unanswered request is sent again
+ * @param localAfterNanos time without an answer after which a client switches to local mode
+ * @param halfLifeNanos half-life of the decay of a client's last share to an equal share in local mode, and of the
+ *     leased amounts by which the owner computes the shares
+ * @param idleNanos time without calls after which a client returns the rest of its slice
+ * @param clientExpiryNanos time without a request after which the owner removes a client and its share
+ * @param initialFill level of the token buckets of a new owner as a fraction of the burst, 0 to 1; each change of owner
+ *     can add that much to the amount that a customer is charged
  */
 public record LimitSettings(
         long sliceNanos,
         long answerTimeoutNanos,
-        long silentAfterNanos,
+        long localAfterNanos,
         long halfLifeNanos,
         long idleNanos,
-        long forgetNanos,
-        double opening) {
-    private static final long MILLI = 1_000_000L;
+        long clientExpiryNanos,
+        double initialFill) {
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
-     * The defaults: slices of 500 ms, answer timeout 150 ms, alone after 600 ms, half-life 5 s, idle after 2 s,
-     * forgotten after 60 s, and
-     * new homes that start empty.
+     * The defaults: slices for 500 ms of use, answer timeout 150 ms, local mode after 600 ms, half-life 5 s, idle after
+     * 2 s, client expiry 60 s, empty token buckets at a new owner.
      *
-     * @return the settings
+     * @return the default settings
      */
     public static LimitSettings defaults() {
         return new LimitSettings(
-                500 * MILLI, 150 * MILLI, 600 * MILLI, 5_000 * MILLI, 2_000 * MILLI, 60_000 * MILLI, 0);
+                500 * NANOS_PER_MILLI,
+                150 * NANOS_PER_MILLI,
+                600 * NANOS_PER_MILLI,
+                5_000 * NANOS_PER_MILLI,
+                2_000 * NANOS_PER_MILLI,
+                60_000 * NANOS_PER_MILLI,
+                0);
     }
 
     /**
-     * The same times with homes that start with a part of the burst. Empty ones refuse the first calls of each customer
-     * after a home has changed, until the budget has filled.
+     * Copies the settings with another initial fill level. Without an initial fill, the first calls of each customer
+     * are rejected after a change of owner, until the budget has refilled.
      *
-     * @param share the part, 0 to 1
+     * @param fraction level of the token buckets of a new owner as a fraction of the burst, 0 to 1
      * @return the changed settings
      */
-    public LimitSettings withInitialFill(double share) {
+    public LimitSettings withInitialFill(double fraction) {
         return new LimitSettings(
-                sliceNanos, answerTimeoutNanos, silentAfterNanos, halfLifeNanos, idleNanos, forgetNanos, share);
+                sliceNanos, answerTimeoutNanos, localAfterNanos, halfLifeNanos, idleNanos, clientExpiryNanos, fraction);
     }
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitCodecTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitCodecTest.java
@@ -8,7 +8,7 @@
 
 class LimitCodecTest {
     @Test
-    void messagesSurviveTheWire() {
+    void decodesEncodedMessages() {
         LimitMessage wants = new LimitMessage.Wants(
                 3, List.of(new LimitMessage.Want("a", 4, new Amount(1, 200), new Amount(2, 30))));
         LimitMessage slices =
@@ -18,19 +18,21 @@
         assertThat(LimitCodec.decode(LimitCodec.encode(slices))).isEqualTo(new LimitCodec.Decoded.Message(slices));
     }
 
-    /** A faulty daemon wants a negative amount. Taken from the budget, it would add to it. */
+    /**
+     * Guards against a budget that grows because a faulty daemon requests a negative amount, which is then deducted.
+     */
     @Test
-    void negativeAmountsAreReadAsNothing() {
+    void negativeAmountsAreDecodedAsZero() {
         LimitMessage wants = new LimitMessage.Wants(
                 3, List.of(new LimitMessage.Want("a", 4, new Amount(-1, -200), new Amount(0, -1))));
-        LimitMessage read =
-                new LimitMessage.Wants(3, List.of(new LimitMessage.Want("a", 4, Amount.NOTHING, Amount.NOTHING)));
+        LimitMessage expected =
+                new LimitMessage.Wants(3, List.of(new LimitMessage.Want("a", 4, Amount.ZERO, Amount.ZERO)));
 
-        assertThat(LimitCodec.decode(LimitCodec.encode(wants))).isEqualTo(new LimitCodec.Decoded.Message(read));
+        assertThat(LimitCodec.decode(LimitCodec.encode(wants))).isEqualTo(new LimitCodec.Decoded.Message(expected));
     }
 
     @Test
-    void bytesOfAnotherProtocolAreMalformed() {
+    void invalidBytesAreMalformed() {
         assertThat(LimitCodec.decode(new byte[] {(byte) 0xff, 1})).isInstanceOf(LimitCodec.Decoded.Malformed.class);
         assertThat(LimitCodec.decode(new byte[0])).isInstanceOf(LimitCodec.Decoded.Malformed.class);
     }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitFleetTest.java
@@ -13,8 +13,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class LimitFleetTest {
-    private static final long MILLI = 1_000_000L;
-    private static final long STEP = 10 * MILLI;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long STEP_NANOS = 10 * NANOS_PER_MILLI;
     private static final String CUSTOMER = "kasbeheer";
     private static final LimitSettings SETTINGS = LimitSettings.defaults();
     private static final Budget BUDGET = new Budget(new Amount(100, 20_000), new Amount(150, 30_000));
@@ -24,9 +24,9 @@
         private final LimitSettings settings;
         private long life = 1;
         private long pausedUntil;
-        private String homeView = "entry-0";
+        private String ownerName = "entry-0";
         private LimitClient client;
-        private LimitOwner home;
+        private LimitOwner owner;
         private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
 
         Node(String name, LimitSettings settings) {
@@ -38,7 +38,7 @@
         void start(long now) {
             inbox.clear();
             client = new LimitClient(
-                    life, settings, customer -> Optional.of(homeView).filter(view -> !view.isEmpty()));
+                    life, settings, customer -> Optional.of(ownerName).filter(each -> !each.isEmpty()));
             client.setBudget(CUSTOMER, BUDGET, now);
             client.setLiveMembers(4);
         }
@@ -52,25 +52,25 @@
             pausedUntil = until;
         }
 
-        void home(String view) {
-            homeView = view;
+        void setOwner(String member) {
+            ownerName = member;
         }
 
-        void becomesHome(long now) {
-            home = new LimitOwner(settings, now);
-            home.setBudget(CUSTOMER, BUDGET, now);
+        void becomeOwner(long now) {
+            owner = new LimitOwner(settings, now);
+            owner.setBudget(CUSTOMER, BUDGET, now);
         }
 
-        void dropsHome() {
-            home = null;
+        void resign() {
+            owner = null;
         }
     }
 
     private static final class Fleet {
         private final SplittableRandom random;
-        private final LossyNetwork wire;
+        private final LossyNetwork network;
         private final List<Node> nodes = new ArrayList<>();
-        private Amount charged = Amount.NOTHING;
+        private Amount charged = Amount.ZERO;
         private long now;
 
         Fleet(long seed) {
@@ -79,19 +79,19 @@
 
         Fleet(long seed, LimitSettings settings) {
             random = new SplittableRandom(seed);
-            wire = new LossyNetwork(random);
+            network = new LossyNetwork(random);
             for (int i = 0; i < 4; i++) {
                 nodes.add(new Node("entry-" + i, settings));
             }
-            nodes.get(0).becomesHome(0);
+            nodes.get(0).becomeOwner(0);
         }
 
         void call(Node node) {
-            ChargeResult taking = node.client.charge(CUSTOMER, 20 + random.nextLong(400), now);
-            if (taking instanceof ChargeResult.Charged taken) {
-                charged = charged.plus(taken.charged());
-                perform(node, taken.effects());
-            } else if (taking instanceof ChargeResult.AwaitingSlice waiting) {
+            ChargeResult result = node.client.charge(CUSTOMER, 20 + random.nextLong(400), now);
+            if (result instanceof ChargeResult.Charged chargedCall) {
+                charged = charged.plus(chargedCall.charged());
+                perform(node, chargedCall.effects());
+            } else if (result instanceof ChargeResult.AwaitingSlice waiting) {
                 perform(node, waiting.effects());
             }
         }
@@ -99,7 +99,7 @@
         void perform(Node node, List<LimitEffect> effects) {
             for (LimitEffect effect : effects) {
                 if (effect instanceof LimitEffect.Send send) {
-                    wire.send(node.name, send.to(), LimitCodec.encode(send.message()), now);
+                    network.send(node.name, send.to(), LimitCodec.encode(send.message()), now);
                 } else if (effect instanceof LimitEffect.Refilled refilled) {
                     assertThat(refilled.customer()).isEqualTo(CUSTOMER);
                     call(node);
@@ -107,9 +107,9 @@
             }
         }
 
-        void step(int callsOfAll) {
-            now += STEP;
-            for (LossyNetwork.Packet packet : wire.pollArrived(now)) {
+        void step(int calls) {
+            now += STEP_NANOS;
+            for (LossyNetwork.Packet packet : network.pollArrived(now)) {
                 nodes.stream().filter(node -> node.name.equals(packet.to())).forEach(node -> node.inbox.add(packet));
             }
             for (Node node : nodes) {
@@ -117,7 +117,7 @@
                     act(node);
                 }
             }
-            for (int i = 0; i < callsOfAll; i++) {
+            for (int i = 0; i < calls; i++) {
                 Node node = nodes.get(random.nextInt(nodes.size()));
                 if (now >= node.pausedUntil) {
                     call(node);
@@ -132,8 +132,8 @@
                 LimitMessage message = ((LimitCodec.Decoded.Message) LimitCodec.decode(packet.body())).message();
                 if (message instanceof LimitMessage.Slices slices) {
                     perform(node, node.client.onMessage(slices, now));
-                } else if (message instanceof LimitMessage.Wants wants && node.home != null) {
-                    perform(node, node.home.onMessage(packet.from(), wants, now));
+                } else if (message instanceof LimitMessage.Wants wants && node.owner != null) {
+                    perform(node, node.owner.onMessage(packet.from(), wants, now));
                 }
             }
             perform(node, node.client.advance(now));
@@ -146,83 +146,85 @@
             }
         }
 
-        void within(double times, long sinceNanos, Amount before) {
-            within(1, times, sinceNanos, before);
+        void assertWithinBudget(double rateFactor, long sinceNanos, Amount before) {
+            assertWithinBudget(1, rateFactor, sinceNanos, before);
         }
 
-        void within(int bursts, double times, long sinceNanos, Amount before) {
+        void assertWithinBudget(int bursts, double rateFactor, long sinceNanos, Amount before) {
             double seconds = (now - sinceNanos) / 1e9;
             Amount spent = charged.minus(before);
             Amount rate = BUDGET.perSecond();
             assertThat((double) spent.requests())
-                    .isLessThanOrEqualTo(bursts * BUDGET.burst().requests() + times * rate.requests() * seconds);
+                    .isLessThanOrEqualTo(bursts * BUDGET.burst().requests() + rateFactor * rate.requests() * seconds);
             assertThat((double) spent.tokens())
-                    .isLessThanOrEqualTo(bursts * BUDGET.burst().tokens() + times * rate.tokens() * seconds);
+                    .isLessThanOrEqualTo(bursts * BUDGET.burst().tokens() + rateFactor * rate.tokens() * seconds);
         }
     }
 
     /**
-     * A customer sends far more than its budget to all daemons at once, while packets are lost and doubled and daemons
-     * pause and restart. Other customers would notice if it got more than its budget.
+     * Guards against a customer exceeding its budget at the expense of others: it sends far more calls than its budget
+     * to all daemons at once, while packets are lost and duplicated and daemons pause and restart.
      */
     @Property(tries = 60, seed = "31", shrinking = ShrinkingMode.OFF)
-    void withOneHomeTheBudgetIsNeverExceeded(@ForAll long seed) {
+    void singleOwnerNeverExceedsBudget(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.setFaults(0.05, 0.3, 50 * MILLI);
+        fleet.network.setFaults(0.05, 0.3, 50 * NANOS_PER_MILLI);
         for (int round = 0; round < 100; round++) {
-            fleet.run(100 * MILLI, fleet.random.nextInt(12));
+            fleet.run(100 * NANOS_PER_MILLI, fleet.random.nextInt(12));
             Node node = fleet.nodes.get(1 + fleet.random.nextInt(3));
             if (fleet.random.nextInt(10) == 0) {
-                node.pause(fleet.now + fleet.random.nextLong(400 * MILLI));
+                node.pause(fleet.now + fleet.random.nextLong(400 * NANOS_PER_MILLI));
             } else if (fleet.random.nextInt(20) == 0) {
                 node.restart(fleet.now);
             }
-            fleet.within(1, 0, Amount.NOTHING);
+            fleet.assertWithinBudget(1, 0, Amount.ZERO);
         }
     }
 
     /**
-     * A fleet has just started, and a customer's calls come to all daemons at once. Its home has the whole burst to lease
-     * from, so the first calls are served; and one home still gives no more than burst and rate.
+     * Guards against rejecting the first calls after the start of a fleet, when a customer's calls arrive at all
+     * daemons at once. An owner that starts with the whole burst serves them and still leases no more than the burst
+     * plus the rate.
      */
     @Property(tries = 30, seed = "37", shrinking = ShrinkingMode.OFF)
-    void aHomeThatOpensFullServesTheFirstCallsAndStaysWithinTheBudget(@ForAll long seed) {
+    void ownerWithFullInitialFillServesFirstCallsWithinBudget(@ForAll long seed) {
         Fleet fleet = new Fleet(seed, SETTINGS.withInitialFill(1));
-        fleet.run(200 * MILLI, 2);
+        fleet.run(200 * NANOS_PER_MILLI, 2);
         assertThat(fleet.charged.requests()).isGreaterThan(20);
         for (int round = 0; round < 50; round++) {
-            fleet.run(100 * MILLI, fleet.random.nextInt(12));
-            fleet.within(1, 0, Amount.NOTHING);
+            fleet.run(100 * NANOS_PER_MILLI, fleet.random.nextInt(12));
+            fleet.assertWithinBudget(1, 0, Amount.ZERO);
         }
     }
 
     /**
-     * VMs are replaced one after the other, and with each the customer's home moves. What its predecessors leased may
-     * still be spent, so each new home can add one burst, and no more.
+     * Guards against a budget that is exceeded when VMs are replaced one after the other and the ownership of a
+     * customer moves each time. Slices leased by earlier owners may still be spent, so each new owner adds at most one
+     * burst.
      */
     @Property(tries = 30, seed = "38", shrinking = ShrinkingMode.OFF)
-    void eachHomeThatOpensFullAddsOneBurstAtMost(@ForAll long seed) {
+    void eachOwnerWithFullInitialFillAddsAtMostOneBurst(@ForAll long seed) {
         Fleet fleet = new Fleet(seed, SETTINGS.withInitialFill(1));
-        fleet.wire.setFaults(0.05, 0.1, 50 * MILLI);
-        int homes = 1;
+        fleet.network.setFaults(0.05, 0.1, 50 * NANOS_PER_MILLI);
+        int owners = 1;
         for (int round = 0; round < 12; round++) {
-            fleet.run(1_500 * MILLI, 6);
-            fleet.nodes.forEach(Node::dropsHome);
-            fleet.nodes.get(homes % 4).becomesHome(fleet.now);
-            String name = fleet.nodes.get(homes % 4).name;
-            fleet.nodes.forEach(node -> node.home(name));
-            homes++;
-            fleet.within(homes, 1, 0, Amount.NOTHING);
+            fleet.run(1_500 * NANOS_PER_MILLI, 6);
+            fleet.nodes.forEach(Node::resign);
+            fleet.nodes.get(owners % 4).becomeOwner(fleet.now);
+            String name = fleet.nodes.get(owners % 4).name;
+            fleet.nodes.forEach(node -> node.setOwner(name));
+            owners++;
+            fleet.assertWithinBudget(owners, 1, 0, Amount.ZERO);
         }
     }
 
-    /** A busy customer's calls are spread over all daemons. It must be able to use what it pays for. */
+    /** Guards against budget lost in unused slices when a busy customer's calls are spread over all daemons. */
     @Property(tries = 20, seed = "32", shrinking = ShrinkingMode.OFF)
-    void aBusyCustomerCanUseMostOfItsBudget(@ForAll long seed) {
+    void busyCustomerCanUseMostOfItsBudget(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.run(5_000 * MILLI, 4);
+        fleet.run(5_000 * NANOS_PER_MILLI, 4);
         Amount before = fleet.charged;
-        fleet.run(10_000 * MILLI, 4);
+        fleet.run(10_000 * NANOS_PER_MILLI, 4);
         Amount used = fleet.charged.minus(before);
         double share = Math.max(
                 used.requests() / 10.0 / BUDGET.perSecond().requests(),
@@ -231,76 +233,78 @@
     }
 
     /**
-     * The home dies and no other is known yet. The customer's calls must go on being served, by what each daemon had
-     * last, and must not get more than the budget.
+     * Guards against rejecting a customer's calls after its owner has died, before there is another owner. The daemons
+     * serve the calls in local mode by their last shares, and must stay within the budget together.
      */
     @Property(tries = 30, seed = "33", shrinking = ShrinkingMode.OFF)
-    void withoutAHomeTheMembersStayWithinTheBudgetTogether(@ForAll long seed) {
+    void membersWithoutOwnerStayWithinBudgetTogether(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.run(5_000 * MILLI, 5);
-        fleet.nodes.get(0).dropsHome();
-        fleet.run(1_500 * MILLI, 5);
-        assertThat(fleet.nodes).allMatch(node -> node.client.alone(CUSTOMER));
+        fleet.run(5_000 * NANOS_PER_MILLI, 5);
+        fleet.nodes.get(0).resign();
+        fleet.run(1_500 * NANOS_PER_MILLI, 5);
+        assertThat(fleet.nodes).allMatch(node -> node.client.isLocalMode(CUSTOMER));
         Amount before = fleet.charged;
         long since = fleet.now;
-        fleet.run(30_000 * MILLI, 5);
-        fleet.within(1, since, before);
+        fleet.run(30_000 * NANOS_PER_MILLI, 5);
+        fleet.assertWithinBudget(1, since, before);
         assertThat(fleet.charged.minus(before).tokens())
                 .isGreaterThan(BUDGET.perSecond().tokens() * 30 / 2);
 
-        fleet.nodes.get(2).becomesHome(fleet.now);
-        fleet.nodes.forEach(node -> node.home("entry-2"));
-        fleet.run(2_000 * MILLI, 5);
-        assertThat(fleet.nodes).noneMatch(node -> node.client.alone(CUSTOMER));
+        fleet.nodes.get(2).becomeOwner(fleet.now);
+        fleet.nodes.forEach(node -> node.setOwner("entry-2"));
+        fleet.run(2_000 * NANOS_PER_MILLI, 5);
+        assertThat(fleet.nodes).noneMatch(node -> node.client.isLocalMode(CUSTOMER));
     }
 
     /**
-     * A partition gives each part a home that believes to be the only one. The customer may get up to twice its rate
-     * until the partition ends, and no more.
+     * Guards against more than twice the rate during a network partition, when each side has its own owner that leases
+     * the whole budget.
      */
     @Property(tries = 30, seed = "34", shrinking = ShrinkingMode.OFF)
-    void twoHomesGiveAtMostTwiceTheRate(@ForAll long seed) {
+    void twoOwnersLeaseAtMostTwiceTheRate(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.setFaults(0.05, 0.1, 50 * MILLI);
-        fleet.run(5_000 * MILLI, 6);
+        fleet.network.setFaults(0.05, 0.1, 50 * NANOS_PER_MILLI);
+        fleet.run(5_000 * NANOS_PER_MILLI, 6);
         Amount before = fleet.charged;
         long since = fleet.now;
         for (int i = 2; i < 4; i++) {
-            fleet.wire.assignPartition(fleet.nodes.get(i).name, 1);
-            fleet.nodes.get(i).home("entry-2");
+            fleet.network.assignPartition(fleet.nodes.get(i).name, 1);
+            fleet.nodes.get(i).setOwner("entry-2");
         }
-        fleet.nodes.get(2).becomesHome(fleet.now);
-        fleet.run(20_000 * MILLI, 6);
-        fleet.within(2, since, before);
+        fleet.nodes.get(2).becomeOwner(fleet.now);
+        fleet.run(20_000 * NANOS_PER_MILLI, 6);
+        fleet.assertWithinBudget(2, since, before);
         assertThat(fleet.charged.minus(before).tokens())
                 .isGreaterThan(BUDGET.perSecond().tokens() * 20);
     }
 
     /**
-     * Two daemons are cut off from the home, one after the other, and go on alone while the home gives everything to the
-     * rest. The customer may get up to twice its rate, and no more.
+     * Guards against more than twice the rate when two daemons lose the connection to the owner one after the other and
+     * continue in local mode, while the owner leases the whole budget to the other daemons.
      */
     @Property(tries = 30, seed = "36", shrinking = ShrinkingMode.OFF)
-    void membersCutOffFromTheHomeAddAtMostTheRateAgain(@ForAll long seed) {
+    void membersWithoutConnectionToOwnerAddAtMostTheRateOnceMore(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.run(5_000 * MILLI, 6);
+        fleet.run(5_000 * NANOS_PER_MILLI, 6);
         Amount before = fleet.charged;
         long since = fleet.now;
-        fleet.wire.assignPartition("entry-2", 1);
-        fleet.run(7_000 * MILLI, 6);
-        fleet.wire.assignPartition("entry-3", 2);
-        fleet.run(20_000 * MILLI, 6);
-        assertThat(fleet.nodes.get(2).client.alone(CUSTOMER)).isTrue();
-        assertThat(fleet.nodes.get(3).client.alone(CUSTOMER)).isTrue();
-        fleet.within(2, since, before);
+        fleet.network.assignPartition("entry-2", 1);
+        fleet.run(7_000 * NANOS_PER_MILLI, 6);
+        fleet.network.assignPartition("entry-3", 2);
+        fleet.run(20_000 * NANOS_PER_MILLI, 6);
+        assertThat(fleet.nodes.get(2).client.isLocalMode(CUSTOMER)).isTrue();
+        assertThat(fleet.nodes.get(3).client.isLocalMode(CUSTOMER)).isTrue();
+        fleet.assertWithinBudget(2, since, before);
     }
 
-    /** A customer stops calling at one daemon; the rest of its slice is of use to the others. */
+    /**
+     * Guards against budget left unused at a daemon whose customer no longer sends calls, while other daemons need it.
+     */
     @Property(tries = 10, seed = "35", shrinking = ShrinkingMode.OFF)
-    void anIdleDaemonGivesTheRestOfItsSliceBack(@ForAll long seed) {
+    void idleDaemonReturnsRestOfItsSlice(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.run(3_000 * MILLI, 3);
-        fleet.run(6_000 * MILLI, 0);
+        fleet.run(3_000 * NANOS_PER_MILLI, 3);
+        fleet.run(6_000 * NANOS_PER_MILLI, 0);
         Amount before = fleet.charged;
         for (int i = 0; i < 200; i++) {
             fleet.step(0);
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitOwnerTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/limit/LimitOwnerTest.java
@@ -9,12 +9,15 @@
 class LimitOwnerTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Budget BUDGET = new Budget(new Amount(10, 1_000), new Amount(10, 1_000));
-    private final LimitOwner home = new LimitOwner(LimitSettings.defaults(), 0);
+    private final LimitOwner owner = new LimitOwner(LimitSettings.defaults(), 0);
 
-    /** A slice is lost and its want comes again. Taken from the budget twice, half of it would be of use to nobody. */
+    /**
+     * Guards against leasing twice for a request that is sent again because the reply was lost. The amount would be
+     * deducted twice, and no daemon could spend the second half.
+     */
     @Test
-    void aWantThatComesTwiceGetsTheSameSliceAndCostsItOnce() {
-        home.setBudget("a", BUDGET, 0);
+    void repeatedRequestGetsSameSliceAndIsDeductedOnce() {
+        owner.setBudget("a", BUDGET, 0);
         LimitMessage.Slice first = lease("entry-1", 1, 1, new Amount(4, 400), SECOND);
 
         assertThat(lease("entry-1", 1, 1, new Amount(4, 400), SECOND)).isEqualTo(first);
@@ -22,22 +25,26 @@
                 .isEqualTo(new Amount(6, 600));
     }
 
-    /** A daemon restarts and starts to count its wants anew. It must not be taken for the old one. */
+    /**
+     * Guards against ignoring a restarted daemon, whose sequence numbers begin again at 1, and against answering a
+     * delayed request of its earlier incarnation.
+     */
     @Test
-    void aRestartedDaemonIsAnsweredAndItsEarlierLifeIsNot() {
-        home.setBudget("a", BUDGET, 0);
+    void answersRestartedDaemonButNotItsEarlierIncarnation() {
+        owner.setBudget("a", BUDGET, 0);
         lease("entry-1", 1, 7, new Amount(1, 100), SECOND);
 
         assertThat(lease("entry-1", 2, 1, new Amount(1, 100), SECOND).amount()).isEqualTo(new Amount(1, 100));
-        assertThat(home.onMessage("entry-1", wants(1, 8, new Amount(1, 100)), SECOND)).isEmpty();
+        assertThat(owner.onMessage("entry-1", wants(1, 8, new Amount(1, 100)), SECOND))
+                .isEmpty();
     }
 
-    /** One daemon's callers want everything. Those of another daemon must get their part. */
+    /** Guards against one daemon's callers using up the budget while another daemon requests slices as well. */
     @Test
-    void daemonsThatWantAtTheSameTimeGetEqualParts() {
-        home.setBudget("a", BUDGET, 0);
-        lease("entry-1", 1, 1, Amount.NOTHING, SECOND);
-        lease("entry-2", 1, 1, Amount.NOTHING, SECOND);
+    void activeDaemonsGetEqualShares() {
+        owner.setBudget("a", BUDGET, 0);
+        lease("entry-1", 1, 1, Amount.ZERO, SECOND);
+        lease("entry-2", 1, 1, Amount.ZERO, SECOND);
 
         LimitMessage.Slice slice = lease("entry-1", 1, 2, new Amount(10, 1_000), SECOND);
 
@@ -46,11 +53,11 @@
 
     private LimitMessage.Slice lease(String from, long life, long sequence, Amount amount, long now) {
         LimitEffect.Send send = (LimitEffect.Send)
-                home.onMessage(from, wants(life, sequence, amount), now).get(0);
+                owner.onMessage(from, wants(life, sequence, amount), now).get(0);
         return ((LimitMessage.Slices) send.message()).slices().get(0);
     }
 
     private static LimitMessage.Wants wants(long life, long sequence, Amount amount) {
-        return new LimitMessage.Wants(life, List.of(new LimitMessage.Want("a", sequence, amount, Amount.NOTHING)));
+        return new LimitMessage.Wants(life, List.of(new LimitMessage.Want("a", sequence, amount, Amount.ZERO)));
     }
 }
