--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/TicketSize.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/TicketSize.java
@@ -1,7 +1,7 @@
 package org.dotterelcourse.coordination.grant.measure;
 
 import org.dotterelcourse.coordination.MemberId;
-import org.dotterelcourse.coordination.ticket.TicketDesk;
+import org.dotterelcourse.coordination.ticket.TicketCoordinator;
 import org.dotterelcourse.coordination.ticket.TicketMint;
 import org.dotterelcourse.coordination.ticket.TicketOutcome;
 import org.dotterelcourse.coordination.ticket.TicketSettings;
@@ -46,7 +46,7 @@
 
     private static TicketMint mintTickets(int count, boolean spend) {
         TicketMint mint = new TicketMint(SELF, new byte[32], SETTINGS);
-        TicketDesk desk = new TicketDesk(SELF, mint, SETTINGS);
+        TicketCoordinator desk = new TicketCoordinator(SELF, mint, SETTINGS);
         TicketOutcome answered = new TicketOutcome(TicketOutcome.Result.ANSWERED, new byte[0]);
         for (int i = 0; i < count; i++) {
             TicketMint.Minting.Minted minted = (TicketMint.Minting.Minted) mint.mint("customer", 0);
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketDesk.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketCoordinator.java
@@ -17,7 +17,7 @@
  * <p>A call gets one verdict. A permission that comes after the call was answered "unknown" is not used, and the minter
  * is asked to burn the ticket.
  */
-public final class TicketDesk {
+public final class TicketCoordinator {
     private static final int REPEATS_PER_TIMEOUT = 4;
 
     private final MemberId self;
@@ -33,7 +33,7 @@
      * @param mint this process's own mint
      * @param settings times and bounds
      */
-    public TicketDesk(MemberId self, TicketMint mint, TicketSettings settings) {
+    public TicketCoordinator(MemberId self, TicketMint mint, TicketSettings settings) {
         this.self = self;
         this.mint = mint;
         this.settings = settings;
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketEffect.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.coordination.ticket;
 
-/** What the embedder of a {@link TicketDesk} has to do. */
+/** What the embedder of a {@link TicketCoordinator} has to do. */
 public sealed interface TicketEffect {
     /**
      * Send a message.
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -38,7 +38,7 @@
         private long life;
         private long pausedUntil;
         private TicketMint mint;
-        private TicketDesk desk;
+        private TicketCoordinator desk;
 
         Node(String name, SplittableRandom random) {
             this.name = name;
@@ -55,7 +55,7 @@
             random.nextBytes(key);
             MemberId self = new MemberId(name, life);
             mint = new TicketMint(self, key, SETTINGS);
-            desk = new TicketDesk(self, mint, SETTINGS);
+            desk = new TicketCoordinator(self, mint, SETTINGS);
             calls.clear();
             endsAt.clear();
             inbox.clear();
@@ -89,7 +89,7 @@
             }
             int newest = tickets.size() - 1;
             Ticket ticket = tickets.get(Math.max(0, newest - random.nextInt(6)));
-            TicketDesk.Started started = random.nextInt(6) == 0
+            TicketCoordinator.Started started = random.nextInt(6) == 0
                     ? node.desk.burn(ticket.token, CUSTOMER, now)
                     : node.desk.spend(ticket.token, CUSTOMER, now);
             node.calls.put(started.request(), ticket);
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMintTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMintTest.java
@@ -11,12 +11,12 @@
     private static final MemberId SELF = new MemberId("entry-1", 3);
     private static final TicketSettings SETTINGS = new TicketSettings(100, 40, 30, 10, 10);
     private final TicketMint mint = new TicketMint(SELF, new byte[32], SETTINGS);
-    private final TicketDesk desk = new TicketDesk(SELF, mint, SETTINGS);
+    private final TicketCoordinator desk = new TicketCoordinator(SELF, mint, SETTINGS);
 
     @Test
     void aTicketIsSpentOnceAndDuplicatesGetTheFirstOutcome() {
         String token = minted("a", 0);
-        TicketDesk.Started first = desk.spend(token, "a", 1);
+        TicketCoordinator.Started first = desk.spend(token, "a", 1);
         assertThat(verdict(first)).isInstanceOf(TicketVerdict.SpendNow.class);
         assertThat(verdict(desk.spend(token, "a", 2))).isEqualTo(new TicketVerdict.AlreadySpent(Optional.empty()));
 
@@ -47,7 +47,7 @@
     @Test
     void aTicketOfAnEarlierLifeIsUnknown() {
         MemberId later = new MemberId(SELF.name(), SELF.incarnation() + 1);
-        TicketDesk restarted = new TicketDesk(later, new TicketMint(later, new byte[32], SETTINGS), SETTINGS);
+        TicketCoordinator restarted = new TicketCoordinator(later, new TicketMint(later, new byte[32], SETTINGS), SETTINGS);
 
         assertThat(verdict(restarted.spend(minted("a", 0), "a", 1)))
                 .isEqualTo(new TicketVerdict.Unknown(TicketVerdict.Reason.EARLIER_LIFE));
@@ -110,7 +110,7 @@
      */
     @Test
     void aPermissionThatComesTooLateGoesBackUnused() {
-        TicketDesk forwarder = new TicketDesk(
+        TicketCoordinator forwarder = new TicketCoordinator(
                 new MemberId("entry-3", 1),
                 new TicketMint(new MemberId("entry-3", 1), new byte[32], SETTINGS),
                 SETTINGS);
@@ -132,7 +132,7 @@
         return ((TicketMint.Minting.Minted) mint.mint(customer, nowNanos)).token();
     }
 
-    private static TicketVerdict verdict(TicketDesk.Started started) {
+    private static TicketVerdict verdict(TicketCoordinator.Started started) {
         return ((TicketEffect.Verdict) started.effects().get(0)).verdict();
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -9,7 +9,7 @@
 import org.dotterelcourse.coordination.MemberId;
 import org.dotterelcourse.coordination.ticket.IdempotencyTable;
 import org.dotterelcourse.coordination.ticket.TicketCodec;
-import org.dotterelcourse.coordination.ticket.TicketDesk;
+import org.dotterelcourse.coordination.ticket.TicketCoordinator;
 import org.dotterelcourse.coordination.ticket.TicketEffect;
 import org.dotterelcourse.coordination.ticket.TicketMint;
 import org.dotterelcourse.coordination.ticket.TicketOutcome;
@@ -47,7 +47,7 @@
     private ControlLoop loop;
     private Peers peers;
     private TicketMint mint;
-    private TicketDesk desk;
+    private TicketCoordinator desk;
 
     /**
      * What came of a ticketed call's question whether it may run.
@@ -76,7 +76,7 @@
         new SecureRandom().nextBytes(key);
         TicketSettings settings = TicketSettings.defaults();
         mint = new TicketMint(self, key, settings);
-        desk = new TicketDesk(self, mint, settings);
+        desk = new TicketCoordinator(self, mint, settings);
         peers.registerListener(CHANNEL, this::received);
         loop.schedulePeriodically(TICK, () -> carryOut(desk.advance(loop.nowNanos())));
         return List.of();
@@ -153,7 +153,7 @@
         loop.execute(() -> keys.finished(customer, key, outcome, loop.nowNanos()));
     }
 
-    private void started(TicketDesk.Started started, MonoSink<Spending> sink) {
+    private void started(TicketCoordinator.Started started, MonoSink<Spending> sink) {
         waiting.put(started.request(), sink);
         carryOut(started.effects());
     }
