--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketCoordinator.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketCoordinator.java
@@ -119,7 +119,7 @@
      * @param nowNanos the time
      * @return what to do
      */
-    public List<TicketEffect> on(String from, TicketMessage message, long nowNanos) {
+    public List<TicketEffect> onMessage(String from, TicketMessage message, long nowNanos) {
         if (message.body() instanceof TicketMessage.Answer answer) {
             return answered(from, message, answer.verdict(), nowNanos);
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -168,7 +168,7 @@
             node.inbox.clear();
             for (LossyNetwork.Packet packet : packets) {
                 TicketMessage message = ((TicketCodec.Decoded.Message) TicketCodec.decode(packet.body())).message();
-                perform(node, node.desk.on(packet.from(), message, now));
+                perform(node, node.desk.onMessage(packet.from(), message, now));
             }
             perform(node, node.desk.advance(now));
             for (Long request : List.copyOf(node.endsAt.keySet())) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMintTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMintTest.java
@@ -78,14 +78,14 @@
     @Test
     void onlyTheDaemonThatMayRunTheCallCanTellWhatBecameOfIt() {
         String token = minted("a", 0);
-        desk.on("entry-3", new TicketMessage(1, 8, new TicketMessage.Spend(token, "a")), 1);
+        desk.onMessage("entry-3", new TicketMessage(1, 8, new TicketMessage.Spend(token, "a")), 1);
         TicketOutcome notRun = new TicketOutcome(TicketOutcome.Result.NOT_RUN, new byte[0]);
 
-        desk.on("entry-2", new TicketMessage(1, 8, new TicketMessage.Report(token, notRun)), 2);
-        desk.on("entry-3", new TicketMessage(2, 8, new TicketMessage.Report(token, notRun)), 3);
+        desk.onMessage("entry-2", new TicketMessage(1, 8, new TicketMessage.Report(token, notRun)), 2);
+        desk.onMessage("entry-3", new TicketMessage(2, 8, new TicketMessage.Report(token, notRun)), 3);
         assertThat(verdict(desk.spend(token, "a", 4))).isEqualTo(new TicketVerdict.AlreadySpent(Optional.empty()));
 
-        desk.on("entry-3", new TicketMessage(1, 8, new TicketMessage.Report(token, notRun)), 5);
+        desk.onMessage("entry-3", new TicketMessage(1, 8, new TicketMessage.Report(token, notRun)), 5);
         assertThat(verdict(desk.spend(token, "a", 6))).isInstanceOf(TicketVerdict.Burned.class);
     }
 
@@ -118,13 +118,13 @@
         TicketEffect.Send question =
                 (TicketEffect.Send) forwarder.spend(token, "a", 0).effects().get(0);
         TicketEffect.Send permission =
-                (TicketEffect.Send) desk.on("entry-3", question.message(), 5).get(0);
+                (TicketEffect.Send) desk.onMessage("entry-3", question.message(), 5).get(0);
 
-        var effects = forwarder.on("entry-1", permission.message(), 50);
+        var effects = forwarder.onMessage("entry-1", permission.message(), 50);
 
         assertThat(effects.get(0))
                 .isEqualTo(new TicketEffect.Verdict(1, new TicketVerdict.Unknown(TicketVerdict.Reason.UNREACHABLE)));
-        desk.on("entry-3", ((TicketEffect.Send) effects.get(1)).message(), 51);
+        desk.onMessage("entry-3", ((TicketEffect.Send) effects.get(1)).message(), 51);
         assertThat(verdict(desk.spend(token, "a", 52))).isInstanceOf(TicketVerdict.Burned.class);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -160,7 +160,7 @@
 
     private void received(String from, byte[] body) {
         if (TicketCodec.decode(body) instanceof TicketCodec.Decoded.Message decoded) {
-            carryOut(desk.on(from, decoded.message(), loop.nowNanos()));
+            carryOut(desk.onMessage(from, decoded.message(), loop.nowNanos()));
         }
     }
 
