--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/TicketSize.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/TicketSize.java
@@ -51,7 +51,7 @@
         for (int i = 0; i < count; i++) {
             TicketMint.Minting.Minted minted = (TicketMint.Minting.Minted) mint.mint("customer", 0);
             if (spend) {
-                desk.finished(desk.spend(minted.token(), "customer", 0).request(), answered, 0);
+                desk.recordOutcome(desk.spend(minted.token(), "customer", 0).request(), answered, 0);
             }
         }
         return mint;
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketCoordinator.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketCoordinator.java
@@ -103,7 +103,7 @@
      * @param nowNanos the time
      * @return what to do
      */
-    public List<TicketEffect> finished(long request, TicketOutcome outcome, long nowNanos) {
+    public List<TicketEffect> recordOutcome(long request, TicketOutcome outcome, long nowNanos) {
         Call call = calls.get(request);
         if (call == null || call.state != State.RUNNING) {
             return List.of();
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -148,7 +148,7 @@
         }
 
         void finish(Node node, long request, TicketOutcome.Result result) {
-            perform(node, node.desk.finished(request, new TicketOutcome(result, new byte[0]), now));
+            perform(node, node.desk.recordOutcome(request, new TicketOutcome(result, new byte[0]), now));
         }
 
         void step() {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMintTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMintTest.java
@@ -21,7 +21,7 @@
         assertThat(verdict(desk.spend(token, "a", 2))).isEqualTo(new TicketVerdict.AlreadySpent(Optional.empty()));
 
         TicketOutcome outcome = new TicketOutcome(TicketOutcome.Result.ANSWERED, new byte[] {7});
-        desk.finished(first.request(), outcome, 3);
+        desk.recordOutcome(first.request(), outcome, 3);
 
         assertThat(verdict(desk.spend(token, "a", 4))).isEqualTo(new TicketVerdict.AlreadySpent(Optional.of(outcome)));
         assertThat(verdict(desk.burn(token, "a", 5))).isEqualTo(new TicketVerdict.AlreadySpent(Optional.of(outcome)));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -126,7 +126,7 @@
      * @param outcome what became of it
      */
     public void finished(long request, TicketOutcome outcome) {
-        loop.execute(() -> carryOut(desk.finished(request, outcome, loop.nowNanos())));
+        loop.execute(() -> carryOut(desk.recordOutcome(request, outcome, loop.nowNanos())));
     }
 
     /**
