--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/TicketSize.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/TicketSize.java
@@ -2,7 +2,7 @@
 
 import org.dotterelcourse.coordination.MemberId;
 import org.dotterelcourse.coordination.ticket.TicketCoordinator;
-import org.dotterelcourse.coordination.ticket.TicketMint;
+import org.dotterelcourse.coordination.ticket.TicketMinter;
 import org.dotterelcourse.coordination.ticket.TicketOutcome;
 import org.dotterelcourse.coordination.ticket.TicketSettings;
 
@@ -44,12 +44,12 @@
                 "CPU time of minting, spending and reporting one ticket at its minter: %.1f microseconds.%n", micros);
     }
 
-    private static TicketMint mintTickets(int count, boolean spend) {
-        TicketMint mint = new TicketMint(SELF, new byte[32], SETTINGS);
+    private static TicketMinter mintTickets(int count, boolean spend) {
+        TicketMinter mint = new TicketMinter(SELF, new byte[32], SETTINGS);
         TicketCoordinator desk = new TicketCoordinator(SELF, mint, SETTINGS);
         TicketOutcome answered = new TicketOutcome(TicketOutcome.Result.ANSWERED, new byte[0]);
         for (int i = 0; i < count; i++) {
-            TicketMint.Minting.Minted minted = (TicketMint.Minting.Minted) mint.mint("customer", 0);
+            TicketMinter.Minting.Minted minted = (TicketMinter.Minting.Minted) mint.mint("customer", 0);
             if (spend) {
                 desk.recordOutcome(desk.spend(minted.token(), "customer", 0).request(), answered, 0);
             }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketCoordinator.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketCoordinator.java
@@ -21,7 +21,7 @@
     private static final int REPEATS_PER_TIMEOUT = 4;
 
     private final MemberId self;
-    private final TicketMint mint;
+    private final TicketMinter mint;
     private final TicketSettings settings;
     private final Map<Long, Call> calls = new LinkedHashMap<>();
     private long lastRequest;
@@ -33,7 +33,7 @@
      * @param mint this process's own mint
      * @param settings times and bounds
      */
-    public TicketCoordinator(MemberId self, TicketMint mint, TicketSettings settings) {
+    public TicketCoordinator(MemberId self, TicketMinter mint, TicketSettings settings) {
         this.self = self;
         this.mint = mint;
         this.settings = settings;
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketMint.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketMinter.java
@@ -18,7 +18,7 @@
  * <p>At most once rests on this object's memory alone: a ticket goes from unspent to spent, or to burned, and never
  * back. A restarted process has another key and another life, and answers "unknown" for what its earlier life minted.
  */
-public final class TicketMint {
+public final class TicketMinter {
     /** Details of an outcome that are longer than this, in bytes, are not kept; the result is. */
     public static final int MAX_DETAIL = 1024;
 
@@ -37,7 +37,7 @@
      * @param settings times and bounds
      * @throws IllegalArgumentException if the key is too short
      */
-    public TicketMint(MemberId self, byte[] key, TicketSettings settings) {
+    public TicketMinter(MemberId self, byte[] key, TicketSettings settings) {
         if (key.length < 32) {
             throw new IllegalArgumentException("a key of " + key.length + " bytes is too short");
         }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -37,7 +37,7 @@
         private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
         private long life;
         private long pausedUntil;
-        private TicketMint mint;
+        private TicketMinter mint;
         private TicketCoordinator desk;
 
         Node(String name, SplittableRandom random) {
@@ -54,7 +54,7 @@
             byte[] key = new byte[32];
             random.nextBytes(key);
             MemberId self = new MemberId(name, life);
-            mint = new TicketMint(self, key, SETTINGS);
+            mint = new TicketMinter(self, key, SETTINGS);
             desk = new TicketCoordinator(self, mint, SETTINGS);
             calls.clear();
             endsAt.clear();
@@ -82,7 +82,7 @@
 
         void callerActs(Node node) {
             if (tickets.isEmpty() || random.nextInt(4) == 0) {
-                if (node.mint.mint(CUSTOMER, now) instanceof TicketMint.Minting.Minted minted) {
+                if (node.mint.mint(CUSTOMER, now) instanceof TicketMinter.Minting.Minted minted) {
                     tickets.add(new Ticket(minted.token()));
                 }
                 return;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMintTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMintTest.java
@@ -10,7 +10,7 @@
 class TicketMintTest {
     private static final MemberId SELF = new MemberId("entry-1", 3);
     private static final TicketSettings SETTINGS = new TicketSettings(100, 40, 30, 10, 10);
-    private final TicketMint mint = new TicketMint(SELF, new byte[32], SETTINGS);
+    private final TicketMinter mint = new TicketMinter(SELF, new byte[32], SETTINGS);
     private final TicketCoordinator desk = new TicketCoordinator(SELF, mint, SETTINGS);
 
     @Test
@@ -47,7 +47,7 @@
     @Test
     void aTicketOfAnEarlierLifeIsUnknown() {
         MemberId later = new MemberId(SELF.name(), SELF.incarnation() + 1);
-        TicketCoordinator restarted = new TicketCoordinator(later, new TicketMint(later, new byte[32], SETTINGS), SETTINGS);
+        TicketCoordinator restarted = new TicketCoordinator(later, new TicketMinter(later, new byte[32], SETTINGS), SETTINGS);
 
         assertThat(verdict(restarted.spend(minted("a", 0), "a", 1)))
                 .isEqualTo(new TicketVerdict.Unknown(TicketVerdict.Reason.EARLIER_LIFE));
@@ -60,14 +60,14 @@
         for (int i = 1; i < 30; i++) {
             minted("a", i);
         }
-        assertThat(mint.mint("a", 40)).isEqualTo(new TicketMint.Minting.Full(60));
+        assertThat(mint.mint("a", 40)).isEqualTo(new TicketMinter.Minting.Full(60));
         for (int i = 0; i < 10; i++) {
             minted("b", 50);
         }
-        assertThat(mint.mint("c", 50)).isEqualTo(new TicketMint.Minting.Full(50));
+        assertThat(mint.mint("c", 50)).isEqualTo(new TicketMinter.Minting.Full(50));
         assertThat(verdict(desk.spend(first, "a", 99))).isInstanceOf(TicketVerdict.SpendNow.class);
 
-        assertThat(mint.mint("c", 100)).isInstanceOf(TicketMint.Minting.Minted.class);
+        assertThat(mint.mint("c", 100)).isInstanceOf(TicketMinter.Minting.Minted.class);
         assertThat(verdict(desk.spend(first, "a", 100))).isInstanceOf(TicketVerdict.Expired.class);
     }
 
@@ -112,7 +112,7 @@
     void aPermissionThatComesTooLateGoesBackUnused() {
         TicketCoordinator forwarder = new TicketCoordinator(
                 new MemberId("entry-3", 1),
-                new TicketMint(new MemberId("entry-3", 1), new byte[32], SETTINGS),
+                new TicketMinter(new MemberId("entry-3", 1), new byte[32], SETTINGS),
                 SETTINGS);
         String token = minted("a", 0);
         TicketEffect.Send question =
@@ -129,7 +129,7 @@
     }
 
     private String minted(String customer, long nowNanos) {
-        return ((TicketMint.Minting.Minted) mint.mint(customer, nowNanos)).token();
+        return ((TicketMinter.Minting.Minted) mint.mint(customer, nowNanos)).token();
     }
 
     private static TicketVerdict verdict(TicketCoordinator.Started started) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/TicketRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/TicketRoute.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import org.dotterelcourse.coordination.ticket.TicketMint;
+import org.dotterelcourse.coordination.ticket.TicketMinter;
 import org.dotterelcourse.daemon.dispatch.Failure;
 import org.dotterelcourse.daemon.once.OnceGate;
 import org.dotterelcourse.daemon.once.Tickets;
@@ -53,13 +53,13 @@
                 exchange.id());
     }
 
-    private Mono<Void> minted(Exchange exchange, TicketMint.Minting minting) {
-        if (minting instanceof TicketMint.Minting.Full full) {
+    private Mono<Void> minted(Exchange exchange, TicketMinter.Minting minting) {
+        if (minting instanceof TicketMinter.Minting.Full full) {
             Failure failure = Failure.notRun(Failure.TOO_MANY, "too many tickets", "no more can be remembered now")
                     .retryAfter(full.retryAfterNanos());
             return Replies.problem(exchange.response(), failure, exchange.id());
         }
-        TicketMint.Minting.Minted minted = (TicketMint.Minting.Minted) minting;
+        TicketMinter.Minting.Minted minted = (TicketMinter.Minting.Minted) minting;
         String body = json.createObjectNode()
                 .put("ticket", minted.token())
                 .put("expiresInSeconds", TimeUnit.NANOSECONDS.toSeconds(minted.lifetimeNanos()))
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -11,7 +11,7 @@
 import org.dotterelcourse.coordination.ticket.TicketCodec;
 import org.dotterelcourse.coordination.ticket.TicketCoordinator;
 import org.dotterelcourse.coordination.ticket.TicketEffect;
-import org.dotterelcourse.coordination.ticket.TicketMint;
+import org.dotterelcourse.coordination.ticket.TicketMinter;
 import org.dotterelcourse.coordination.ticket.TicketOutcome;
 import org.dotterelcourse.coordination.ticket.TicketSettings;
 import org.dotterelcourse.coordination.ticket.TicketVerdict;
@@ -46,7 +46,7 @@
     private final IdempotencyTable keys = new IdempotencyTable(MAX_KEYS, MAX_KEYS_PER_CUSTOMER, KEY_LIFETIME_NANOS);
     private ControlLoop loop;
     private Peers peers;
-    private TicketMint mint;
+    private TicketMinter mint;
     private TicketCoordinator desk;
 
     /**
@@ -75,7 +75,7 @@
         byte[] key = new byte[KEY_BYTES];
         new SecureRandom().nextBytes(key);
         TicketSettings settings = TicketSettings.defaults();
-        mint = new TicketMint(self, key, settings);
+        mint = new TicketMinter(self, key, settings);
         desk = new TicketCoordinator(self, mint, settings);
         peers.registerListener(CHANNEL, this::received);
         loop.schedulePeriodically(TICK, () -> carryOut(desk.advance(loop.nowNanos())));
@@ -93,7 +93,7 @@
      * @param customer the only customer who may spend it
      * @return the ticket, or when to ask again
      */
-    public Mono<TicketMint.Minting> mint(String customer) {
+    public Mono<TicketMinter.Minting> mint(String customer) {
         return Mono.create(sink -> loop.execute(() -> sink.success(mint.mint(customer, loop.nowNanos()))));
     }
 
