--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMintTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMinterTest.java
@@ -7,7 +7,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class TicketMintTest {
+class TicketMinterTest {
     private static final MemberId SELF = new MemberId("entry-1", 3);
     private static final TicketSettings SETTINGS = new TicketSettings(100, 40, 30, 10, 10);
     private final TicketMinter mint = new TicketMinter(SELF, new byte[32], SETTINGS);
