--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/TicketSize.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/grant/measure/TicketSize.java
@@ -49,7 +49,7 @@
         TicketCoordinator desk = new TicketCoordinator(SELF, mint, SETTINGS);
         TicketOutcome answered = new TicketOutcome(TicketOutcome.Result.ANSWERED, new byte[0]);
         for (int i = 0; i < count; i++) {
-            TicketMinter.Minting.Minted minted = (TicketMinter.Minting.Minted) mint.mint("customer", 0);
+            TicketMinter.MintResult.Minted minted = (TicketMinter.MintResult.Minted) mint.mint("customer", 0);
             if (spend) {
                 desk.recordOutcome(desk.spend(minted.token(), "customer", 0).request(), answered, 0);
             }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketMinter.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketMinter.java
@@ -53,21 +53,21 @@
     }
 
     /** The result of minting. */
-    public sealed interface Minting {
+    public sealed interface MintResult {
         /**
          * A new ticket.
          *
          * @param token the text for the caller
          * @param lifetimeNanos how long it may be spent
          */
-        record Minted(String token, long lifetimeNanos) implements Minting {}
+        record Minted(String token, long lifetimeNanos) implements MintResult {}
 
         /**
          * No more tickets can be remembered. Forgetting one early instead would let it run a second time.
          *
          * @param retryAfterNanos when the oldest ticket expires, from now
          */
-        record Full(long retryAfterNanos) implements Minting {}
+        record Full(long retryAfterNanos) implements MintResult {}
     }
 
     /**
@@ -77,14 +77,14 @@
      * @param nowNanos the time
      * @return the ticket, or when to ask again
      */
-    public Minting mint(String customer, long nowNanos) {
+    public MintResult mint(String customer, long nowNanos) {
         table.expire(nowNanos);
         if (table.full() || table.count(customer) >= settings.maxPerCustomer()) {
-            return new Minting.Full(Math.max(1, table.nextExpiryNanos() - nowNanos));
+            return new MintResult.Full(Math.max(1, table.nextExpiryNanos() - nowNanos));
         }
         long number = table.add(customer, nowNanos + settings.lifetimeNanos());
         String token = new TicketToken(self, number, sign(number, customer)).text();
-        return new Minting.Minted(token, settings.lifetimeNanos());
+        return new MintResult.Minted(token, settings.lifetimeNanos());
     }
 
     /** Spends a ticket of this mint on a request. The same request gets the same answer again. */
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -82,7 +82,7 @@
 
         void callerActs(Node node) {
             if (tickets.isEmpty() || random.nextInt(4) == 0) {
-                if (node.mint.mint(CUSTOMER, now) instanceof TicketMinter.Minting.Minted minted) {
+                if (node.mint.mint(CUSTOMER, now) instanceof TicketMinter.MintResult.Minted minted) {
                     tickets.add(new Ticket(minted.token()));
                 }
                 return;
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMinterTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketMinterTest.java
@@ -60,14 +60,14 @@
         for (int i = 1; i < 30; i++) {
             minted("a", i);
         }
-        assertThat(mint.mint("a", 40)).isEqualTo(new TicketMinter.Minting.Full(60));
+        assertThat(mint.mint("a", 40)).isEqualTo(new TicketMinter.MintResult.Full(60));
         for (int i = 0; i < 10; i++) {
             minted("b", 50);
         }
-        assertThat(mint.mint("c", 50)).isEqualTo(new TicketMinter.Minting.Full(50));
+        assertThat(mint.mint("c", 50)).isEqualTo(new TicketMinter.MintResult.Full(50));
         assertThat(verdict(desk.spend(first, "a", 99))).isInstanceOf(TicketVerdict.SpendNow.class);
 
-        assertThat(mint.mint("c", 100)).isInstanceOf(TicketMinter.Minting.Minted.class);
+        assertThat(mint.mint("c", 100)).isInstanceOf(TicketMinter.MintResult.Minted.class);
         assertThat(verdict(desk.spend(first, "a", 100))).isInstanceOf(TicketVerdict.Expired.class);
     }
 
@@ -129,7 +129,7 @@
     }
 
     private String minted(String customer, long nowNanos) {
-        return ((TicketMinter.Minting.Minted) mint.mint(customer, nowNanos)).token();
+        return ((TicketMinter.MintResult.Minted) mint.mint(customer, nowNanos)).token();
     }
 
     private static TicketVerdict verdict(TicketCoordinator.Started started) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/TicketRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/TicketRoute.java
@@ -53,13 +53,13 @@
                 exchange.id());
     }
 
-    private Mono<Void> minted(Exchange exchange, TicketMinter.Minting minting) {
-        if (minting instanceof TicketMinter.Minting.Full full) {
+    private Mono<Void> minted(Exchange exchange, TicketMinter.MintResult minting) {
+        if (minting instanceof TicketMinter.MintResult.Full full) {
             Failure failure = Failure.notRun(Failure.TOO_MANY, "too many tickets", "no more can be remembered now")
                     .retryAfter(full.retryAfterNanos());
             return Replies.problem(exchange.response(), failure, exchange.id());
         }
-        TicketMinter.Minting.Minted minted = (TicketMinter.Minting.Minted) minting;
+        TicketMinter.MintResult.Minted minted = (TicketMinter.MintResult.Minted) minting;
         String body = json.createObjectNode()
                 .put("ticket", minted.token())
                 .put("expiresInSeconds", TimeUnit.NANOSECONDS.toSeconds(minted.lifetimeNanos()))
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -93,7 +93,7 @@
      * @param customer the only customer who may spend it
      * @return the ticket, or when to ask again
      */
-    public Mono<TicketMinter.Minting> mint(String customer) {
+    public Mono<TicketMinter.MintResult> mint(String customer) {
         return Mono.create(sink -> loop.execute(() -> sink.success(mint.mint(customer, loop.nowNanos()))));
     }
 
