--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
@@ -76,7 +76,7 @@
      * @param nowNanos the time
      * @return what it may do
      */
-    public Entering enter(String customer, String key, long fingerprint, long nowNanos) {
+    public Entering register(String customer, String key, long fingerprint, long nowNanos) {
         expire(nowNanos);
         Key named = new Key(customer, key);
         Entry known = running.getOrDefault(named, ended.get(named));
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
@@ -12,29 +12,29 @@
     /** A caller sends a payout again because the connection broke. The payout must not be made twice. */
     @Test
     void aDuplicateGetsTheFirstCallsOutcome() {
-        assertThat(table.enter("a", "k", 1, 0)).isInstanceOf(Entering.First.class);
-        assertThat(table.enter("a", "k", 1, 1)).isInstanceOf(Entering.Running.class);
+        assertThat(table.register("a", "k", 1, 0)).isInstanceOf(Entering.First.class);
+        assertThat(table.register("a", "k", 1, 1)).isInstanceOf(Entering.Running.class);
         table.finished("a", "k", OUTCOME, 2);
 
-        assertThat(table.enter("a", "k", 1, 3)).isEqualTo(new Entering.Ended(OUTCOME));
-        assertThat(table.enter("a", "k", 2, 3)).isInstanceOf(Entering.OtherCall.class);
-        assertThat(table.enter("b", "k", 1, 3)).isInstanceOf(Entering.First.class);
+        assertThat(table.register("a", "k", 1, 3)).isEqualTo(new Entering.Ended(OUTCOME));
+        assertThat(table.register("a", "k", 2, 3)).isInstanceOf(Entering.OtherCall.class);
+        assertThat(table.register("b", "k", 1, 3)).isInstanceOf(Entering.First.class);
     }
 
     /** One customer uses very many keys. The others must still get theirs remembered, and none is dropped early. */
     @Test
     void aFullTableRefusesNewKeysAndKeepsTheOldOnes() {
-        table.enter("a", "1", 1, 0);
-        table.enter("a", "2", 1, 0);
-        assertThat(table.enter("a", "3", 1, 0)).isInstanceOf(Entering.Full.class);
-        assertThat(table.enter("b", "1", 1, 0)).isInstanceOf(Entering.First.class);
-        assertThat(table.enter("c", "1", 1, 0)).isInstanceOf(Entering.Full.class);
+        table.register("a", "1", 1, 0);
+        table.register("a", "2", 1, 0);
+        assertThat(table.register("a", "3", 1, 0)).isInstanceOf(Entering.Full.class);
+        assertThat(table.register("b", "1", 1, 0)).isInstanceOf(Entering.First.class);
+        assertThat(table.register("c", "1", 1, 0)).isInstanceOf(Entering.Full.class);
 
         table.finished("a", "2", OUTCOME, 10);
 
-        assertThat(table.enter("c", "1", 1, 109)).isInstanceOf(Entering.Full.class);
-        assertThat(table.enter("c", "1", 1, 110)).isInstanceOf(Entering.First.class);
-        assertThat(table.enter("a", "1", 1, 110)).isInstanceOf(Entering.Running.class);
+        assertThat(table.register("c", "1", 1, 109)).isInstanceOf(Entering.Full.class);
+        assertThat(table.register("c", "1", 1, 110)).isInstanceOf(Entering.First.class);
+        assertThat(table.register("a", "1", 1, 110)).isInstanceOf(Entering.Running.class);
         assertThat(table.size()).isEqualTo(3);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -139,7 +139,7 @@
      */
     public Mono<IdempotencyTable.Entering> enterKey(String customer, String key, long fingerprint) {
         return Mono.create(
-                sink -> loop.execute(() -> sink.success(keys.enter(customer, key, fingerprint, loop.nowNanos()))));
+                sink -> loop.execute(() -> sink.success(keys.register(customer, key, fingerprint, loop.nowNanos()))));
     }
 
     /**
