--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
@@ -46,25 +46,25 @@
     }
 
     /** What a keyed call may do. */
-    public sealed interface Entering {
+    public sealed interface Registration {
         /** The first call with this key: run it, and call {@link IdempotencyTable#finished}. */
-        record First() implements Entering {}
+        record First() implements Registration {}
 
         /** The first call still runs. */
-        record Running() implements Entering {}
+        record Running() implements Registration {}
 
         /**
          * The first call has ended; its outcome holds for this one as well.
          *
          * @param outcome the outcome
          */
-        record Ended(TicketOutcome outcome) implements Entering {}
+        record Ended(TicketOutcome outcome) implements Registration {}
 
         /** The key was used for another call. */
-        record OtherCall() implements Entering {}
+        record OtherCall() implements Registration {}
 
         /** Too many calls are remembered; this one has not run. */
-        record Full() implements Entering {}
+        record Full() implements Registration {}
     }
 
     /**
@@ -76,22 +76,22 @@
      * @param nowNanos the time
      * @return what it may do
      */
-    public Entering register(String customer, String key, long fingerprint, long nowNanos) {
+    public Registration register(String customer, String key, long fingerprint, long nowNanos) {
         expire(nowNanos);
         Key named = new Key(customer, key);
         Entry known = running.getOrDefault(named, ended.get(named));
         if (known != null && known.fingerprint != fingerprint) {
-            return new Entering.OtherCall();
+            return new Registration.OtherCall();
         }
         if (known != null) {
-            return known.outcome == null ? new Entering.Running() : new Entering.Ended(known.outcome);
+            return known.outcome == null ? new Registration.Running() : new Registration.Ended(known.outcome);
         }
         if (size() >= maxEntries || countByCustomer.getOrDefault(customer, 0) >= maxPerCustomer) {
-            return new Entering.Full();
+            return new Registration.Full();
         }
         running.put(named, new Entry(fingerprint));
         countByCustomer.merge(customer, 1, Integer::sum);
-        return new Entering.First();
+        return new Registration.First();
     }
 
     /**
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
@@ -1,6 +1,6 @@
 package org.dotterelcourse.coordination.ticket;
 
-import org.dotterelcourse.coordination.ticket.IdempotencyTable.Entering;
+import org.dotterelcourse.coordination.ticket.IdempotencyTable.Registration;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -12,13 +12,13 @@
     /** A caller sends a payout again because the connection broke. The payout must not be made twice. */
     @Test
     void aDuplicateGetsTheFirstCallsOutcome() {
-        assertThat(table.register("a", "k", 1, 0)).isInstanceOf(Entering.First.class);
-        assertThat(table.register("a", "k", 1, 1)).isInstanceOf(Entering.Running.class);
+        assertThat(table.register("a", "k", 1, 0)).isInstanceOf(Registration.First.class);
+        assertThat(table.register("a", "k", 1, 1)).isInstanceOf(Registration.Running.class);
         table.finished("a", "k", OUTCOME, 2);
 
-        assertThat(table.register("a", "k", 1, 3)).isEqualTo(new Entering.Ended(OUTCOME));
-        assertThat(table.register("a", "k", 2, 3)).isInstanceOf(Entering.OtherCall.class);
-        assertThat(table.register("b", "k", 1, 3)).isInstanceOf(Entering.First.class);
+        assertThat(table.register("a", "k", 1, 3)).isEqualTo(new Registration.Ended(OUTCOME));
+        assertThat(table.register("a", "k", 2, 3)).isInstanceOf(Registration.OtherCall.class);
+        assertThat(table.register("b", "k", 1, 3)).isInstanceOf(Registration.First.class);
     }
 
     /** One customer uses very many keys. The others must still get theirs remembered, and none is dropped early. */
@@ -26,15 +26,15 @@
     void aFullTableRefusesNewKeysAndKeepsTheOldOnes() {
         table.register("a", "1", 1, 0);
         table.register("a", "2", 1, 0);
-        assertThat(table.register("a", "3", 1, 0)).isInstanceOf(Entering.Full.class);
-        assertThat(table.register("b", "1", 1, 0)).isInstanceOf(Entering.First.class);
-        assertThat(table.register("c", "1", 1, 0)).isInstanceOf(Entering.Full.class);
+        assertThat(table.register("a", "3", 1, 0)).isInstanceOf(Registration.Full.class);
+        assertThat(table.register("b", "1", 1, 0)).isInstanceOf(Registration.First.class);
+        assertThat(table.register("c", "1", 1, 0)).isInstanceOf(Registration.Full.class);
 
         table.finished("a", "2", OUTCOME, 10);
 
-        assertThat(table.register("c", "1", 1, 109)).isInstanceOf(Entering.Full.class);
-        assertThat(table.register("c", "1", 1, 110)).isInstanceOf(Entering.First.class);
-        assertThat(table.register("a", "1", 1, 110)).isInstanceOf(Entering.Running.class);
+        assertThat(table.register("c", "1", 1, 109)).isInstanceOf(Registration.Full.class);
+        assertThat(table.register("c", "1", 1, 110)).isInstanceOf(Registration.First.class);
+        assertThat(table.register("a", "1", 1, 110)).isInstanceOf(Registration.Running.class);
         assertThat(table.size()).isEqualTo(3);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
@@ -74,15 +74,15 @@
         return new Stop(failure(spending.verdict()));
     }
 
-    private Pass ofKey(IdempotencyTable.Entering entering, String customer, String key) {
-        if (entering instanceof IdempotencyTable.Entering.First) {
+    private Pass ofKey(IdempotencyTable.Registration entering, String customer, String key) {
+        if (entering instanceof IdempotencyTable.Registration.First) {
             return new Run(outcome -> tickets.keyFinished(customer, key, recorded(outcome)));
         }
-        if (entering instanceof IdempotencyTable.Entering.Running) {
+        if (entering instanceof IdempotencyTable.Registration.Running) {
             return new Stop(Failure.unknown(CONFLICT, "still running", "the first call with this key still runs")
                     .retryAfter(ONE_SECOND_NANOS));
         }
-        if (entering instanceof IdempotencyTable.Entering.Ended ended) {
+        if (entering instanceof IdempotencyTable.Registration.Ended ended) {
             return new Stop(new Failure(
                     CONFLICT,
                     "repeated",
@@ -91,7 +91,7 @@
                     0,
                     List.of()));
         }
-        if (entering instanceof IdempotencyTable.Entering.OtherCall) {
+        if (entering instanceof IdempotencyTable.Registration.OtherCall) {
             return new Stop(Failure.notRun(CONFLICT, "key in use", "this key was used for another call"));
         }
         return new Stop(Failure.notRun(Failure.TOO_MANY, "too many keys", "no more keys can be remembered now")
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -135,9 +135,9 @@
      * @param customer its customer
      * @param key the key
      * @param fingerprint a hash of the call
-     * @return what it may do; with {@link IdempotencyTable.Entering.First}, {@link #keyFinished} must be called
+     * @return what it may do; with {@link IdempotencyTable.Registration.First}, {@link #keyFinished} must be called
      */
-    public Mono<IdempotencyTable.Entering> enterKey(String customer, String key, long fingerprint) {
+    public Mono<IdempotencyTable.Registration> enterKey(String customer, String key, long fingerprint) {
         return Mono.create(
                 sink -> loop.execute(() -> sink.success(keys.register(customer, key, fingerprint, loop.nowNanos()))));
     }
