--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
@@ -61,7 +61,7 @@
         record Ended(TicketOutcome outcome) implements Registration {}
 
         /** The key was used for another call. */
-        record OtherCall() implements Registration {}
+        record KeyReused() implements Registration {}
 
         /** Too many calls are remembered; this one has not run. */
         record Full() implements Registration {}
@@ -81,7 +81,7 @@
         Key named = new Key(customer, key);
         Entry known = running.getOrDefault(named, ended.get(named));
         if (known != null && known.fingerprint != fingerprint) {
-            return new Registration.OtherCall();
+            return new Registration.KeyReused();
         }
         if (known != null) {
             return known.outcome == null ? new Registration.Running() : new Registration.Ended(known.outcome);
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
@@ -17,7 +17,7 @@
         table.finished("a", "k", OUTCOME, 2);
 
         assertThat(table.register("a", "k", 1, 3)).isEqualTo(new Registration.Ended(OUTCOME));
-        assertThat(table.register("a", "k", 2, 3)).isInstanceOf(Registration.OtherCall.class);
+        assertThat(table.register("a", "k", 2, 3)).isInstanceOf(Registration.KeyReused.class);
         assertThat(table.register("b", "k", 1, 3)).isInstanceOf(Registration.First.class);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
@@ -91,7 +91,7 @@
                     0,
                     List.of()));
         }
-        if (entering instanceof IdempotencyTable.Registration.OtherCall) {
+        if (entering instanceof IdempotencyTable.Registration.KeyReused) {
             return new Stop(Failure.notRun(CONFLICT, "key in use", "this key was used for another call"));
         }
         return new Stop(Failure.notRun(Failure.TOO_MANY, "too many keys", "no more keys can be remembered now")
