--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
@@ -47,7 +47,7 @@
 
     /** What a keyed call may do. */
     public sealed interface Registration {
-        /** The first call with this key: run it, and call {@link IdempotencyTable#finished}. */
+        /** The first call with this key: run it, and call {@link IdempotencyTable#recordOutcome}. */
         record First() implements Registration {}
 
         /** The first call still runs. */
@@ -102,7 +102,7 @@
      * @param outcome what became of it
      * @param nowNanos the time
      */
-    public void finished(String customer, String key, TicketOutcome outcome, long nowNanos) {
+    public void recordOutcome(String customer, String key, TicketOutcome outcome, long nowNanos) {
         Key named = new Key(customer, key);
         Entry entry = running.remove(named);
         if (entry != null) {
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
@@ -14,7 +14,7 @@
     void aDuplicateGetsTheFirstCallsOutcome() {
         assertThat(table.register("a", "k", 1, 0)).isInstanceOf(Registration.First.class);
         assertThat(table.register("a", "k", 1, 1)).isInstanceOf(Registration.Running.class);
-        table.finished("a", "k", OUTCOME, 2);
+        table.recordOutcome("a", "k", OUTCOME, 2);
 
         assertThat(table.register("a", "k", 1, 3)).isEqualTo(new Registration.Ended(OUTCOME));
         assertThat(table.register("a", "k", 2, 3)).isInstanceOf(Registration.KeyReused.class);
@@ -30,7 +30,7 @@
         assertThat(table.register("b", "1", 1, 0)).isInstanceOf(Registration.First.class);
         assertThat(table.register("c", "1", 1, 0)).isInstanceOf(Registration.Full.class);
 
-        table.finished("a", "2", OUTCOME, 10);
+        table.recordOutcome("a", "2", OUTCOME, 10);
 
         assertThat(table.register("c", "1", 1, 109)).isInstanceOf(Registration.Full.class);
         assertThat(table.register("c", "1", 1, 110)).isInstanceOf(Registration.First.class);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -150,7 +150,7 @@
      * @param outcome what became of it
      */
     public void keyFinished(String customer, String key, TicketOutcome outcome) {
-        loop.execute(() -> keys.finished(customer, key, outcome, loop.nowNanos()));
+        loop.execute(() -> keys.recordOutcome(customer, key, outcome, loop.nowNanos()));
     }
 
     private void started(TicketCoordinator.Started started, MonoSink<Spending> sink) {
