--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/IdempotencyTable.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /**
- * Recognises duplicates of a call by its customer and idempotency key, within one process. A caller that retries at
- * another daemon isn't recognised; that takes a ticket.
+ * Detects duplicates of a call by customer and idempotency key within one process. Retries at another daemon are not
+ * detected; they need a ticket.
  *
- * <p>An entry is kept for its whole lifetime and never dropped to make room: a dropped entry would let a duplicate run.
- * When there is no room a new keyed call is refused instead, and has not run.
+ * <p>An entry is kept for its whole lifetime and never evicted, because an evicted entry would let a duplicate run.
+ * When the table is full, new calls with a key are rejected without being run.
  */
 public final class IdempotencyTable {
     private final int maxEntries;
@@ -21,11 +21,11 @@
     private final Map<String, Integer> countByCustomer = new HashMap<>();
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
-     * @param maxEntries how many calls are remembered
-     * @param maxPerCustomer how many of one customer
-     * @param lifetimeNanos how long a call is remembered after it ended
+     * @param maxEntries maximum number of entries
+     * @param maxPerCustomer maximum number of entries per customer
+     * @param lifetimeNanos nanoseconds from the end of a call until its entry expires
      */
     public IdempotencyTable(int maxEntries, int maxPerCustomer, long lifetimeNanos) {
         this.maxEntries = maxEntries;
@@ -45,91 +45,97 @@
         }
     }
 
-    /** What a keyed call may do. */
+    /** Result of {@link IdempotencyTable#register}. */
     public sealed interface Registration {
-        /** The first call with this key: run it, and call {@link IdempotencyTable#recordOutcome}. */
+        /**
+         * The first call with this key. It must be run, and {@link IdempotencyTable#recordOutcome} called when it has
+         * ended.
+         */
         record First() implements Registration {}
 
-        /** The first call still runs. */
+        /** The first call is still running; this one must not run. */
         record Running() implements Registration {}
 
         /**
-         * The first call has ended; its outcome holds for this one as well.
+         * The first call has ended; this one must not run and gets the same outcome.
          *
-         * @param outcome the outcome
+         * @param outcome outcome of the first call
          */
         record Ended(TicketOutcome outcome) implements Registration {}
 
-        /** The key was used for another call. */
+        /** The key was used for a call with another fingerprint; this one must not run. */
         record KeyReused() implements Registration {}
 
-        /** Too many calls are remembered; this one has not run. */
+        /** The limit of entries is reached; this call must not run. */
         record Full() implements Registration {}
     }
 
     /**
-     * A keyed call has arrived.
+     * Registers an arriving call with an idempotency key.
      *
-     * @param customer its customer
-     * @param key the caller's key
-     * @param fingerprint a hash of the call, to tell it from another one with the same key
-     * @param nowNanos the time
-     * @return what it may do
+     * @param customer the call's customer
+     * @param key idempotency key from the caller
+     * @param fingerprint hash of the call, which distinguishes it from a different call with the same key
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return whether the call must be run
      */
     public Registration register(String customer, String key, long fingerprint, long nowNanos) {
         expire(nowNanos);
-        Key named = new Key(customer, key);
-        Entry known = running.getOrDefault(named, ended.get(named));
-        if (known != null && known.fingerprint != fingerprint) {
+        Key tableKey = new Key(customer, key);
+        Entry entry = running.getOrDefault(tableKey, ended.get(tableKey));
+        if (entry != null && entry.fingerprint != fingerprint) {
             return new Registration.KeyReused();
         }
-        if (known != null) {
-            return known.outcome == null ? new Registration.Running() : new Registration.Ended(known.outcome);
+        if (entry != null) {
+            return entry.outcome == null ? new Registration.Running() : new Registration.Ended(entry.outcome);
         }
         if (size() >= maxEntries || countByCustomer.getOrDefault(customer, 0) >= maxPerCustomer) {
             return new Registration.Full();
         }
-        running.put(named, new Entry(fingerprint));
+        running.put(tableKey, new Entry(fingerprint));
         countByCustomer.merge(customer, 1, Integer::sum);
         return new Registration.First();
     }
 
     /**
-     * The first call has ended.
+     * Records the outcome of the first call with a key.
      *
-     * @param customer its customer
-     * @param key the caller's key
-     * @param outcome what became of it
-     * @param nowNanos the time
+     * @param customer the call's customer
+     * @param key idempotency key from the caller
+     * @param outcome outcome of the call
+     * @param nowNanos current monotonic time in nanoseconds
      */
     public void recordOutcome(String customer, String key, TicketOutcome outcome, long nowNanos) {
-        Key named = new Key(customer, key);
-        Entry entry = running.remove(named);
+        Key tableKey = new Key(customer, key);
+        Entry entry = running.remove(tableKey);
         if (entry != null) {
             entry.outcome = outcome;
             entry.endedNanos = nowNanos;
-            ended.put(named, entry);
+            ended.put(tableKey, entry);
         }
     }
 
     /**
-     * Calls that are remembered.
+     * Number of entries, of running and ended calls.
      *
-     * @return how many
+     * @return the number
      */
     public int size() {
         return running.size() + ended.size();
     }
 
-    /** Forgets ended calls, which stand in the order in which they ended. */
+    /**
+     * Removes expired entries. The ended calls are ordered by their end, so the search stops at the first unexpired
+     * one.
+     */
     private void expire(long nowNanos) {
-        Iterator<Map.Entry<Key, Entry>> each = ended.entrySet().iterator();
-        while (each.hasNext()) {
-            Map.Entry<Key, Entry> next = each.next();
+        Iterator<Map.Entry<Key, Entry>> iterator = ended.entrySet().iterator();
+        while (iterator.hasNext()) {
+            Map.Entry<Key, Entry> next = iterator.next();
             if (nowNanos - next.getValue().endedNanos < lifetimeNanos) {
                 return;
             }
-            each.remove();
+            iterator.remove();
             countByCustomer.computeIfPresent(
                     next.getKey().customer(), (customer, count) -> count == 1 ? null : count - 1);
         }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketCodec.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketCodec.java
@@ -8,11 +8,11 @@
 import org.dotterelcourse.coordination.ticket.generated.TicketProtos.Answer.Verdict;
 import org.dotterelcourse.coordination.ticket.generated.TicketProtos.TicketPacket;
 
-/** Encodes {@link TicketMessage} by Protocol Buffers; see {@code tickets.proto}. */
+/** Encodes and decodes {@link TicketMessage} as Protocol Buffers, see {@code tickets.proto}. */
 public final class TicketCodec {
     private TicketCodec() {}
 
-    /** The result of decoding. */
+    /** Result of decoding. */
     public sealed interface Decoded {
         /**
          * A well-formed message.
@@ -22,9 +22,9 @@
         record Message(TicketMessage message) implements Decoded {}
 
         /**
-         * Bytes that are no message of this protocol.
+         * Bytes that are not a valid message of this protocol.
          *
-         * @param reason what is wrong
+         * @param reason description of the error
          */
         record Malformed(String reason) implements Decoded {}
     }
@@ -33,7 +33,7 @@
      * Encodes a message.
      *
      * @param message the message
-     * @return the body for the channel {@code tickets}
+     * @return the encoded message, a body of the peer channel {@code tickets}
      */
     public static byte[] encode(TicketMessage message) {
         TicketPacket.Builder packet =
@@ -51,10 +51,10 @@
     }
 
     /**
-     * Decodes a body of the channel {@code tickets}.
+     * Decodes a body of the peer channel {@code tickets}.
      *
-     * @param body the bytes
-     * @return the message, or why there is none
+     * @param body the encoded message
+     * @return the message, or the reason why the body is malformed
      */
     public static Decoded decode(byte[] body) {
         TicketPacket packet;
@@ -63,7 +63,7 @@
         } catch (InvalidProtocolBufferException e) {
             return new Decoded.Malformed(e.getMessage());
         }
-        TicketMessage.Body read =
+        TicketMessage.Body message =
                 switch (packet.getBodyCase()) {
                     case SPEND ->
                         new TicketMessage.Spend(
@@ -78,10 +78,10 @@
                     case ANSWER -> new TicketMessage.Answer(read(packet.getAnswer()));
                     case BODY_NOT_SET -> null;
                 };
-        if (read == null) {
-            return new Decoded.Malformed("the packet has no known body");
+        if (message == null) {
+            return new Decoded.Malformed("packet has no known body");
         }
-        return new Decoded.Message(new TicketMessage(packet.getLife(), packet.getRequest(), read));
+        return new Decoded.Message(new TicketMessage(packet.getLife(), packet.getRequest(), message));
     }
 
     private static TicketProtos.Outcome write(TicketOutcome outcome) {
@@ -91,7 +91,7 @@
                 .build();
     }
 
-    /** An unrecognised result, from a newer version, is read as unknown: it never claims that nothing ran. */
+    /** Decodes an unrecognised result, as from a newer version, as unknown. It must not be taken for "not run". */
     private static TicketOutcome read(TicketProtos.Outcome outcome) {
         TicketOutcome.Result result =
                 switch (outcome.getResult()) {
@@ -116,8 +116,8 @@
         } else if (verdict instanceof TicketVerdict.Forged) {
             answer.setVerdict(Verdict.FORGED);
         } else if (verdict instanceof TicketVerdict.Unknown unknown) {
-            boolean earlier = unknown.reason() == TicketVerdict.Reason.EARLIER_LIFE;
-            answer.setVerdict(earlier ? Verdict.EARLIER_LIFE : Verdict.UNKNOWN);
+            boolean earlierLife = unknown.reason() == TicketVerdict.Reason.EARLIER_LIFE;
+            answer.setVerdict(earlierLife ? Verdict.EARLIER_LIFE : Verdict.UNKNOWN);
         }
         return answer.build();
     }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketEffect.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketEffect.java
@@ -1,20 +1,21 @@
 package org.dotterelcourse.coordination.ticket;
 
-/** What the embedder of a {@link TicketCoordinator} has to do. */
+/** An action that the embedder of a {@link TicketCoordinator} must carry out. */
 public sealed interface TicketEffect {
     /**
      * Send a message.
      *
-     * @param to the receiver's member name
+     * @param to member name of the receiver
      * @param message the message
      */
     record Send(String to, TicketMessage message) implements TicketEffect {}
 
     /**
-     * The verdict on a call; exactly one for each call.
+     * Apply the verdict on a call. There is exactly one for each call.
      *
-     * @param request the call's number
-     * @param verdict the verdict; with {@link TicketVerdict.SpendNow}, tell the desk what became of the call
+     * @param request number of the call
+     * @param verdict the verdict; with {@link TicketVerdict.SpendNow}, {@link TicketCoordinator#recordOutcome} must be
+     *     called when the call has ended
      */
     record Verdict(long request, TicketVerdict verdict) implements TicketEffect {}
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketMinter.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketMinter.java
@@ -12,15 +12,16 @@
 import org.dotterelcourse.coordination.MemberId;
 
 /**
- * Mints tickets and says, once for each, that it may be spent. The signature is HMAC-SHA256 (RFC 2104) under a key that
- * only this incarnation of the process knows, so that no other process can accept its tickets by mistake.
+ * Mints tickets and permits each to be spent at most once. Tickets are signed with HMAC-SHA256 (RFC 2104) under a key
+ * that only this incarnation of the process has, so that no other process can accept them by mistake.
  *
- * <p>At most once rests on this object's memory alone: a ticket goes from unspent to spent, or to burned, and never
- * back. A restarted process has another key and another life, and answers "unknown" for what its earlier life minted.
+ * <p>The at-most-once guarantee depends only on the state of this object: a ticket changes from unspent to spent or
+ * burned, or from spent to burned if its call did not run, and is never unspent again. A restarted process has a new
+ * key and a new incarnation number, and answers "unknown" for tickets of its earlier incarnations.
  */
 public final class TicketMinter {
-    /** Details of an outcome that are longer than this, in bytes, are not kept; the result is. */
-    public static final int MAX_DETAIL = 1024;
+    /** Maximum length of an outcome's detail in bytes. If the detail is longer, only the result is stored. */
+    public static final int MAX_DETAIL_BYTES = 1024;
 
     private static final String ALGORITHM = "HmacSHA256";
 
@@ -30,16 +31,16 @@
     private final Mac mac;
 
     /**
-     * Makes a mint without tickets.
+     * Creates a minter without tickets.
      *
-     * @param self this process: its name, and the incarnation with which it started
-     * @param key at least 32 bytes from a source of secure randomness, fresh for this incarnation
-     * @param settings times and bounds
-     * @throws IllegalArgumentException if the key is too short
+     * @param self member name of this process and the incarnation number with which it started
+     * @param key at least 32 bytes from a secure random source, generated for this incarnation
+     * @param settings timeouts and limits
+     * @throws IllegalArgumentException if the key has fewer than 32 bytes
      */
     public TicketMinter(MemberId self, byte[] key, TicketSettings settings) {
         if (key.length < 32) {
-            throw new IllegalArgumentException("a key of " + key.length + " bytes is too short");
+            throw new IllegalArgumentException("the key has " + key.length + " bytes, at least 32 are required");
         }
         this.self = self;
         this.settings = settings;
@@ -48,24 +49,25 @@
             mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(key, ALGORITHM));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+            throw new IllegalStateException("this Java platform lacks " + ALGORITHM, e);
         }
     }
 
-    /** The result of minting. */
+    /** Result of {@link TicketMinter#mint}. */
     public sealed interface MintResult {
         /**
          * A new ticket.
          *
-         * @param token the text for the caller
-         * @param lifetimeNanos how long it may be spent
+         * @param token the encoded ticket for the caller
+         * @param lifetimeNanos nanoseconds from now until the ticket expires
          */
         record Minted(String token, long lifetimeNanos) implements MintResult {}
 
         /**
-         * No more tickets can be remembered. Forgetting one early instead would let it run a second time.
+         * The limit of the process or of the customer is reached. No ticket was minted: evicting an unexpired one
+         * instead would let its call run a second time.
          *
-         * @param retryAfterNanos when the oldest ticket expires, from now
+         * @param retryAfterNanos nanoseconds from now until the oldest ticket of the process expires
          */
         record Full(long retryAfterNanos) implements MintResult {}
     }
@@ -73,13 +75,13 @@
     /**
      * Mints a ticket.
      *
-     * @param customer the only customer who may spend it
-     * @param nowNanos the time
-     * @return the ticket, or when to ask again
+     * @param customer the only customer that may spend the ticket
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the ticket, or the time after which to retry
      */
     public MintResult mint(String customer, long nowNanos) {
         table.expire(nowNanos);
-        if (table.full() || table.count(customer) >= settings.maxPerCustomer()) {
+        if (table.isFull() || table.count(customer) >= settings.maxPerCustomer()) {
             return new MintResult.Full(Math.max(1, table.nextExpiryNanos() - nowNanos));
         }
         long number = table.add(customer, nowNanos + settings.lifetimeNanos());
@@ -87,11 +89,13 @@
         return new MintResult.Minted(token, settings.lifetimeNanos());
     }
 
-    /** Spends a ticket of this mint on a request. The same request gets the same answer again. */
+    /**
+     * Spends a ticket on a call. A repeated request for the same call gets the same answer until the call has ended.
+     */
     TicketVerdict spend(TicketToken token, String customer, TicketHolder holder, long nowNanos) {
-        Optional<TicketVerdict> unfit = check(token, customer, nowNanos);
-        if (unfit.isPresent()) {
-            return unfit.get();
+        Optional<TicketVerdict> rejection = validate(token, customer, nowNanos);
+        if (rejection.isPresent()) {
+            return rejection.get();
         }
         long number = token.number();
         if (table.state(number) == TicketTable.State.UNSPENT) {
@@ -103,25 +107,26 @@
         }
         TicketTable.Spent spent = table.spent(number);
         if (spent.outcome() == null && spent.holder().equals(holder)) {
-            // The answer to the first message was lost or the message came twice. The holder runs its request once
-            // however often it is told to.
+            // The answer was lost or the request was duplicated. The holder ignores further permissions for the same
+            // call.
             return new TicketVerdict.SpendNow();
         }
         return new TicketVerdict.AlreadySpent(Optional.ofNullable(spent.outcome()));
     }
 
     /**
-     * Burns a ticket of this mint unless it was spent. The request that it was spent on may still have it burned: a
-     * daemon asks so only for a call that it has given up and won't run.
+     * Burns a ticket unless it is spent on another call. The holder of a spent ticket may still burn it, because a
+     * daemon requests that only for a call that has timed out and will not run.
      */
     TicketVerdict burn(TicketToken token, String customer, TicketHolder holder, long nowNanos) {
-        Optional<TicketVerdict> unfit = check(token, customer, nowNanos);
-        if (unfit.isPresent()) {
-            return unfit.get();
+        Optional<TicketVerdict> rejection = validate(token, customer, nowNanos);
+        if (rejection.isPresent()) {
+            return rejection.get();
         }
         TicketTable.Spent spent = table.spent(token.number());
-        boolean own = spent != null && spent.outcome() == null && spent.holder().equals(holder);
-        if (spent != null && !own) {
+        boolean sameHolder =
+                spent != null && spent.outcome() == null && spent.holder().equals(holder);
+        if (spent != null && !sameHolder) {
             return new TicketVerdict.AlreadySpent(Optional.ofNullable(spent.outcome()));
         }
         table.burn(token.number());
@@ -129,16 +134,17 @@
     }
 
     /**
-     * The holder of a spent ticket tells what became of its request. Others, and a second report, change nothing.
+     * Records the outcome reported by the holder of a spent ticket. Reports of other daemons and repeated reports are
+     * ignored.
      *
-     * @return what is known of the ticket then
+     * @return a verdict that confirms the receipt
      */
     TicketVerdict report(TicketToken token, TicketHolder holder, TicketOutcome outcome, long nowNanos) {
         table.expire(nowNanos);
         if (token.minter().incarnation() != self.incarnation()) {
             return new TicketVerdict.Unknown(TicketVerdict.Reason.EARLIER_LIFE);
         }
-        if (!table.knows(token.number())) {
+        if (!table.contains(token.number())) {
             return new TicketVerdict.Expired();
         }
         TicketTable.Spent spent = table.spent(token.number());
@@ -146,43 +152,43 @@
             return new TicketVerdict.Burned();
         }
         if (spent.outcome() == null && spent.holder().equals(holder)) {
-            keep(token.number(), outcome);
+            storeOutcome(token.number(), outcome);
         }
         return new TicketVerdict.AlreadySpent(Optional.empty());
     }
 
-    private void keep(long number, TicketOutcome outcome) {
+    private void storeOutcome(long number, TicketOutcome outcome) {
         if (outcome.result() == TicketOutcome.Result.NOT_RUN) {
             table.burn(number);
             return;
         }
-        boolean small = outcome.detail().length <= MAX_DETAIL;
-        table.outcome(number, small ? outcome : new TicketOutcome(outcome.result(), new byte[0]));
+        boolean detailFits = outcome.detail().length <= MAX_DETAIL_BYTES;
+        table.setOutcome(number, detailFits ? outcome : new TicketOutcome(outcome.result(), new byte[0]));
     }
 
-    boolean minted(TicketToken token) {
+    boolean isMintedHere(TicketToken token) {
         return token.minter().name().equals(self.name());
     }
 
     /**
-     * Tickets that have not expired.
+     * Number of unexpired tickets.
      *
-     * @return how many are remembered
+     * @return the number
      */
     public int size() {
         return table.count();
     }
 
-    private Optional<TicketVerdict> check(TicketToken token, String customer, long nowNanos) {
+    private Optional<TicketVerdict> validate(TicketToken token, String customer, long nowNanos) {
         table.expire(nowNanos);
         if (token.minter().incarnation() != self.incarnation()) {
             return Optional.of(new TicketVerdict.Unknown(TicketVerdict.Reason.EARLIER_LIFE));
         }
         boolean genuine = MessageDigest.isEqual(token.mac(), sign(token.number(), customer));
-        if (!genuine || !table.made(token.number())) {
+        if (!genuine || !table.wasMinted(token.number())) {
             return Optional.of(new TicketVerdict.Forged());
         }
-        if (!table.knows(token.number())) {
+        if (!table.contains(token.number())) {
             return Optional.of(new TicketVerdict.Expired());
         }
         return Optional.empty();
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketOutcome.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketOutcome.java
@@ -1,19 +1,20 @@
 package org.dotterelcourse.coordination.ticket;
 
 /**
- * What became of a call.
+ * Outcome of a call.
  *
- * @param result whether it ran
- * @param detail the embedder's payload for duplicates of the call, for instance the answer's status; may be empty
+ * @param result whether the call ran
+ * @param detail opaque payload of the embedder for duplicates of the call, for instance the status of the answer; may
+ *     be empty
  */
 public record TicketOutcome(Result result, byte[] detail) {
     /** Whether a call ran. */
     public enum Result {
-        /** It ran and was answered. */
+        /** The call ran and was answered. */
         ANSWERED,
-        /** It truly did not run, and never will. */
+        /** The call did not run and never will. */
         NOT_RUN,
-        /** It may have run. */
+        /** The call may have run. */
         UNKNOWN
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketTable.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketTable.java
@@ -4,40 +4,45 @@
 import java.util.Map;
 
 /**
- * The states of all tickets that have not expired, in a ring: numbers rise and every ticket lives equally long, so the
- * oldest is always the next to expire.
+ * States of all unexpired tickets in a ring buffer. Ticket numbers increase and all tickets have the same lifetime, so
+ * the oldest ticket is always the next to expire.
  */
 final class TicketTable {
-    /** What is known of a ticket. */
+    /** State of a ticket. */
     enum State {
-        /** Not spent yet. */
+        /** The ticket can be spent. */
         UNSPENT,
-        /** Spent; its call may have run. */
+        /** The ticket is spent; its call may have run. */
         SPENT,
-        /** Its call did not run and never will. */
+        /** The ticket's call did not run and never will. */
         BURNED
     }
 
-    /** What is kept of a spent ticket; the outcome is null until it is reported. */
+    /**
+     * A spent ticket.
+     *
+     * @param holder the call on which the ticket was spent
+     * @param outcome outcome of that call; null until it is reported
+     */
     record Spent(TicketHolder holder, TicketOutcome outcome) {}
 
-    private static final int FIRST_SIZE = 16;
+    private static final int INITIAL_CAPACITY = 16;
     private static final State[] STATES = State.values();
 
     private final int maxTickets;
     private final Map<String, Integer> countByCustomer = new HashMap<>();
-    private byte[] states = new byte[FIRST_SIZE];
-    private long[] expiry = new long[FIRST_SIZE];
-    private String[] customers = new String[FIRST_SIZE];
-    private Spent[] spent = new Spent[FIRST_SIZE];
-    private long first = 1;
+    private byte[] states = new byte[INITIAL_CAPACITY];
+    private long[] expiryNanos = new long[INITIAL_CAPACITY];
+    private String[] customers = new String[INITIAL_CAPACITY];
+    private Spent[] spent = new Spent[INITIAL_CAPACITY];
+    private long firstNumber = 1;
     private int count;
 
     TicketTable(int maxTickets) {
         this.maxTickets = maxTickets;
     }
 
-    boolean full() {
+    boolean isFull() {
         return count >= maxTickets;
     }
 
@@ -49,32 +54,32 @@
         return countByCustomer.getOrDefault(customer, 0);
     }
 
-    /** When the oldest ticket expires; only while there is one. */
+    /** Monotonic time in nanoseconds at which the oldest ticket expires. The table must not be empty. */
     long nextExpiryNanos() {
-        return expiry[slot(first)];
+        return expiryNanos[slot(firstNumber)];
     }
 
-    long add(String customer, long expiresNanos) {
+    long add(String customer, long expiryTimeNanos) {
         if (count == states.length) {
             grow();
         }
-        long number = first + count;
+        long number = firstNumber + count;
         count++;
         int slot = slot(number);
         states[slot] = (byte) State.UNSPENT.ordinal();
-        expiry[slot] = expiresNanos;
+        expiryNanos[slot] = expiryTimeNanos;
         customers[slot] = customer;
         countByCustomer.merge(customer, 1, Integer::sum);
         return number;
     }
 
-    boolean knows(long number) {
-        return number >= first && number < first + count;
+    boolean contains(long number) {
+        return number >= firstNumber && number < firstNumber + count;
     }
 
-    /** Whether a ticket with this number was ever made. */
-    boolean made(long number) {
-        return number >= 1 && number < first + count;
+    /** True if a ticket with this number was ever minted, whether expired or not. */
+    boolean wasMinted(long number) {
+        return number >= 1 && number < firstNumber + count;
     }
 
     State state(long number) {
@@ -90,7 +95,7 @@
         spent[slot(number)] = new Spent(holder, null);
     }
 
-    void outcome(long number, TicketOutcome outcome) {
+    void setOutcome(long number, TicketOutcome outcome) {
         spent[slot(number)] = new Spent(spent(number).holder(), outcome);
     }
 
@@ -101,11 +106,11 @@
 
     void expire(long nowNanos) {
         while (count > 0 && nextExpiryNanos() - nowNanos <= 0) {
-            int slot = slot(first);
+            int slot = slot(firstNumber);
             countByCustomer.computeIfPresent(customers[slot], (customer, left) -> left == 1 ? null : left - 1);
             customers[slot] = null;
             spent[slot] = null;
-            first++;
+            firstNumber++;
             count--;
         }
     }
@@ -114,24 +119,26 @@
         return (int) (number & (states.length - 1));
     }
 
-    /** Doubles the ring. The numbers' places change with its size, so each ticket is put where it belongs now. */
+    /**
+     * Doubles the ring buffer. The slot of a number depends on the buffer's size, so each ticket moves to its new slot.
+     */
     private void grow() {
         byte[] oldStates = states;
-        long[] oldExpiry = expiry;
+        long[] oldExpiryNanos = expiryNanos;
         String[] oldCustomers = customers;
         Spent[] oldSpent = spent;
-        int size = oldStates.length * 2;
-        states = new byte[size];
-        expiry = new long[size];
-        customers = new String[size];
-        spent = new Spent[size];
-        for (long number = first; number < first + count; number++) {
-            int from = (int) (number & (oldStates.length - 1));
-            int to = slot(number);
-            states[to] = oldStates[from];
-            expiry[to] = oldExpiry[from];
-            customers[to] = oldCustomers[from];
-            spent[to] = oldSpent[from];
+        int capacity = oldStates.length * 2;
+        states = new byte[capacity];
+        expiryNanos = new long[capacity];
+        customers = new String[capacity];
+        spent = new Spent[capacity];
+        for (long number = firstNumber; number < firstNumber + count; number++) {
+            int oldSlot = (int) (number & (oldStates.length - 1));
+            int newSlot = slot(number);
+            states[newSlot] = oldStates[oldSlot];
+            expiryNanos[newSlot] = oldExpiryNanos[oldSlot];
+            customers[newSlot] = oldCustomers[oldSlot];
+            spent[newSlot] = oldSpent[oldSlot];
         }
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketToken.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketToken.java
@@ -8,9 +8,15 @@
 import org.dotterelcourse.coordination.MemberId;
 import org.dotterelcourse.coordination.ticket.generated.TicketProtos;
 
-/** The text that a caller holds: who minted the ticket, its number, and the minter's signature. */
+/**
+ * A ticket as the caller holds it, encoded as base64url.
+ *
+ * @param minter member name and incarnation number of the process that minted the ticket
+ * @param number number of the ticket at its minter
+ * @param mac the minter's message authentication code
+ */
 record TicketToken(MemberId minter, long number, byte[] mac) {
-    static final int MAX_LENGTH = 512;
+    static final int MAX_TEXT_LENGTH = 512;
 
     String text() {
         byte[] bytes = TicketProtos.Token.newBuilder()
@@ -24,7 +30,7 @@
     }
 
     static Optional<TicketToken> parse(String text) {
-        if (text.length() > MAX_LENGTH) {
+        if (text.length() > MAX_TEXT_LENGTH) {
             return Optional.empty();
         }
         try {
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketVerdict.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/ticket/TicketVerdict.java
@@ -2,44 +2,46 @@
 
 import java.util.Optional;
 
-/** What a ticket allows. Only {@link SpendNow} allows the call to be run. */
+/** The minter's decision on a call with a ticket. Only {@link SpendNow} permits the call to run. */
 public sealed interface TicketVerdict {
-    /** The ticket is spent on this call, which is to be run now, once. */
+    /** The ticket is spent on this call, which must now be run exactly once. */
     record SpendNow() implements TicketVerdict {}
 
     /**
-     * The ticket was spent before.
+     * The ticket was already spent on another call.
      *
-     * @param outcome what became of that call; empty while it runs, or if its daemon never told
+     * @param outcome outcome of that call; empty while it runs, or if its daemon has not reported an outcome
      */
     record AlreadySpent(Optional<TicketOutcome> outcome) implements TicketVerdict {}
 
-    /** The ticket's call did not run and never will: its minter says so. The caller may be told "not run". */
+    /**
+     * The minter guarantees that the ticket's call did not run and never will. The caller may get the answer "not run".
+     */
     record Burned() implements TicketVerdict {}
 
     /**
-     * Whether the ticket was spent can't be known. The caller is to be told "unknown".
+     * It cannot be determined whether the ticket was spent. The caller must get the answer "unknown".
      *
-     * @param reason why
+     * @param reason why it cannot be determined
      */
     record Unknown(Reason reason) implements TicketVerdict {}
 
     /**
-     * The ticket's lifetime is over and its minter has forgotten it. It can't run any more, but it may have run before
-     * it expired: the caller is to be told "unknown".
+     * The ticket has expired and its minter keeps no state of it. Its call can no longer run, but may have run before
+     * the expiry, so the caller must get the answer "unknown".
      */
     record Expired() implements TicketVerdict {}
 
-    /** The minter did not make this ticket for this customer. Nothing ran because of this call. */
+    /** The minter did not issue this ticket to this customer. The call was not run. */
     record Forged() implements TicketVerdict {}
 
-    /** Why a verdict is unknown. */
+    /** Reason of an {@link Unknown} verdict. */
     enum Reason {
-        /** An earlier incarnation of the minter made the ticket, and its memory is gone. */
+        /** An earlier incarnation of the minter issued the ticket, and its state is lost. */
         EARLIER_LIFE,
         /** The minter did not answer in time. */
         UNREACHABLE,
-        /** This daemon forwards as many calls as it may at once. Nothing was sent for this call. */
+        /** This daemon has reached its limit of forwarded calls. Nothing was sent for this call. */
         TOO_MANY_FORWARDED
     }
 }
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/IdempotencyTableTest.java
@@ -9,9 +9,9 @@
     private static final TicketOutcome OUTCOME = new TicketOutcome(TicketOutcome.Result.ANSWERED, new byte[] {1});
     private final IdempotencyTable table = new IdempotencyTable(3, 2, 100);
 
-    /** A caller sends a payout again because the connection broke. The payout must not be made twice. */
+    /** Guards against running a call twice when its caller retries it after a connection failure. */
     @Test
-    void aDuplicateGetsTheFirstCallsOutcome() {
+    void duplicateGetsOutcomeOfFirstCall() {
         assertThat(table.register("a", "k", 1, 0)).isInstanceOf(Registration.First.class);
         assertThat(table.register("a", "k", 1, 1)).isInstanceOf(Registration.Running.class);
         table.recordOutcome("a", "k", OUTCOME, 2);
@@ -21,9 +21,12 @@
         assertThat(table.register("b", "k", 1, 3)).isInstanceOf(Registration.First.class);
     }
 
-    /** One customer uses very many keys. The others must still get theirs remembered, and none is dropped early. */
+    /**
+     * Guards against one customer with very many keys that uses up the table for the others, and against entries that
+     * are evicted before they expire.
+     */
     @Test
-    void aFullTableRefusesNewKeysAndKeepsTheOldOnes() {
+    void fullTableRejectsNewKeysAndKeepsUnexpiredEntries() {
         table.register("a", "1", 1, 0);
         table.register("a", "2", 1, 0);
         assertThat(table.register("a", "3", 1, 0)).isInstanceOf(Registration.Full.class);
--- a/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
+++ b/dotterelcourse-coordination/src/test/java/org/dotterelcourse/coordination/ticket/TicketFleetTest.java
@@ -15,15 +15,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class TicketFleetTest {
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final String CUSTOMER = "sabla-counter";
-    private static final TicketSettings SETTINGS = new TicketSettings(20_000 * MILLI, 200, 200, 1_000 * MILLI, 100);
+    private static final TicketSettings SETTINGS =
+            new TicketSettings(20_000 * NANOS_PER_MILLI, 200, 200, 1_000 * NANOS_PER_MILLI, 100);
 
-    /** A call that a caller makes with a ticket, maybe again and again at different daemons. */
+    /** A ticket and the observed results of its call, which the caller may repeat at different daemons. */
     private static final class Ticket {
         private final String token;
         private int executions;
-        private boolean saidNotRun;
+        private boolean answeredNotRun;
 
         Ticket(String token) {
             this.token = token;
@@ -37,8 +38,8 @@
         private final List<LossyNetwork.Packet> inbox = new ArrayList<>();
         private long life;
         private long pausedUntil;
-        private TicketMinter mint;
-        private TicketCoordinator desk;
+        private TicketMinter minter;
+        private TicketCoordinator coordinator;
 
         Node(String name, SplittableRandom random) {
             this.name = name;
@@ -54,18 +55,18 @@
             byte[] key = new byte[32];
             random.nextBytes(key);
             MemberId self = new MemberId(name, life);
-            mint = new TicketMinter(self, key, SETTINGS);
-            desk = new TicketCoordinator(self, mint, SETTINGS);
+            minter = new TicketMinter(self, key, SETTINGS);
+            coordinator = new TicketCoordinator(self, minter, SETTINGS);
             calls.clear();
             endsAt.clear();
             inbox.clear();
         }
     }
 
-    /** Nodes, callers and the tickets that were made. */
+    /** Simulates nodes on a faulty network, and callers. */
     private static final class Fleet {
         private final SplittableRandom random;
-        private final LossyNetwork wire;
+        private final LossyNetwork network;
         private final List<Node> nodes = new ArrayList<>();
         private final List<Ticket> tickets = new ArrayList<>();
         private int spent;
@@ -74,15 +75,15 @@
 
         Fleet(long seed) {
             random = new SplittableRandom(seed);
-            wire = new LossyNetwork(random);
+            network = new LossyNetwork(random);
             for (int i = 0; i < 4; i++) {
                 nodes.add(new Node("entry-" + i, random));
             }
         }
 
-        void callerActs(Node node) {
+        void simulateCaller(Node node) {
             if (tickets.isEmpty() || random.nextInt(4) == 0) {
-                if (node.mint.mint(CUSTOMER, now) instanceof TicketMinter.MintResult.Minted minted) {
+                if (node.minter.mint(CUSTOMER, now) instanceof TicketMinter.MintResult.Minted minted) {
                     tickets.add(new Ticket(minted.token()));
                 }
                 return;
@@ -90,8 +91,8 @@
             int newest = tickets.size() - 1;
             Ticket ticket = tickets.get(Math.max(0, newest - random.nextInt(6)));
             TicketCoordinator.Started started = random.nextInt(6) == 0
-                    ? node.desk.burn(ticket.token, CUSTOMER, now)
-                    : node.desk.spend(ticket.token, CUSTOMER, now);
+                    ? node.coordinator.burn(ticket.token, CUSTOMER, now)
+                    : node.coordinator.spend(ticket.token, CUSTOMER, now);
             node.calls.put(started.request(), ticket);
             perform(node, started.effects());
         }
@@ -99,14 +100,14 @@
         void perform(Node node, List<TicketEffect> effects) {
             for (TicketEffect effect : effects) {
                 if (effect instanceof TicketEffect.Send send) {
-                    wire.send(node.name, send.to(), TicketCodec.encode(send.message()), now);
+                    network.send(node.name, send.to(), TicketCodec.encode(send.message()), now);
                 } else if (effect instanceof TicketEffect.Verdict verdict) {
-                    decided(node, verdict);
+                    onVerdict(node, verdict);
                 }
             }
         }
 
-        void decided(Node node, TicketEffect.Verdict verdict) {
+        void onVerdict(Node node, TicketEffect.Verdict verdict) {
             Ticket ticket = node.calls.remove(verdict.request());
             assertThat(ticket).as("one verdict for each call").isNotNull();
             if (verdict.verdict() instanceof TicketVerdict.SpendNow) {
@@ -115,26 +116,26 @@
                     finish(node, verdict.request(), TicketOutcome.Result.NOT_RUN);
                 } else {
                     ticket.executions++;
-                    node.endsAt.put(verdict.request(), now + random.nextLong(3_000 * MILLI));
+                    node.endsAt.put(verdict.request(), now + random.nextLong(3_000 * NANOS_PER_MILLI));
                 }
             } else if (verdict.verdict() instanceof TicketVerdict.Burned) {
                 burned++;
-                ticket.saidNotRun = true;
+                ticket.answeredNotRun = true;
             } else if (verdict.verdict() instanceof TicketVerdict.AlreadySpent already) {
                 already.outcome()
                         .ifPresent(outcome -> assertThat(outcome.result()).isEqualTo(TicketOutcome.Result.ANSWERED));
             }
             assertThat(ticket.executions).isLessThanOrEqualTo(1);
-            assertThat(ticket.saidNotRun && ticket.executions > 0).isFalse();
+            assertThat(ticket.answeredNotRun && ticket.executions > 0).isFalse();
         }
 
-        /** Asks the minter, by burning, what it knows of a ticket. */
-        void outcomeKnown(Ticket ticket) {
-            String minter =
+        /** Queries the minter's state of a ticket by a burn request. */
+        void assertOutcomeRecorded(Ticket ticket) {
+            String minterName =
                     TicketToken.parse(ticket.token).orElseThrow().minter().name();
             for (Node node : nodes) {
-                if (node.name.equals(minter)) {
-                    TicketEffect effect = node.desk
+                if (node.name.equals(minterName)) {
+                    TicketEffect effect = node.coordinator
                             .burn(ticket.token, CUSTOMER, now)
                             .effects()
                             .get(0);
@@ -148,12 +149,12 @@
         }
 
         void finish(Node node, long request, TicketOutcome.Result result) {
-            perform(node, node.desk.recordOutcome(request, new TicketOutcome(result, new byte[0]), now));
+            perform(node, node.coordinator.recordOutcome(request, new TicketOutcome(result, new byte[0]), now));
         }
 
         void step() {
-            now += 10 * MILLI;
-            for (LossyNetwork.Packet packet : wire.pollArrived(now)) {
+            now += 10 * NANOS_PER_MILLI;
+            for (LossyNetwork.Packet packet : network.pollArrived(now)) {
                 nodes.stream().filter(node -> node.name.equals(packet.to())).forEach(node -> node.inbox.add(packet));
             }
             for (Node node : nodes) {
@@ -168,9 +169,9 @@
             node.inbox.clear();
             for (LossyNetwork.Packet packet : packets) {
                 TicketMessage message = ((TicketCodec.Decoded.Message) TicketCodec.decode(packet.body())).message();
-                perform(node, node.desk.onMessage(packet.from(), message, now));
+                perform(node, node.coordinator.onMessage(packet.from(), message, now));
             }
-            perform(node, node.desk.advance(now));
+            perform(node, node.coordinator.advance(now));
             for (Long request : List.copyOf(node.endsAt.keySet())) {
                 if (node.endsAt.get(request) <= now) {
                     node.endsAt.remove(request);
@@ -181,35 +182,38 @@
     }
 
     /**
-     * A caller sends the same ticketed payout to one daemon after another, because answers get lost, daemons pause,
-     * restart or are cut off. A user would notice a payout made twice, or one made after "not run" was said.
+     * Guards against a call that runs twice or after the answer "not run", when the caller repeats it at several
+     * daemons because answers are lost and daemons pause, restart or are partitioned.
      */
     @Property(tries = 200, seed = "21", shrinking = ShrinkingMode.OFF)
-    void aTicketRunsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
+    void ticketRunsAtMostOnceAndNeverAfterAnswerNotRun(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.setFaults(0.15, 0.2, 700 * MILLI);
+        fleet.network.setFaults(0.15, 0.2, 700 * NANOS_PER_MILLI);
         for (int round = 0; round < 300; round++) {
             Node node = fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size()));
             if (fleet.now >= node.pausedUntil) {
-                fleet.callerActs(node);
+                fleet.simulateCaller(node);
             }
-            disturb(fleet, node);
+            injectFault(fleet, node);
             fleet.step();
         }
         assertThat(fleet.spent).isPositive();
-        fleet.nodes.forEach(node -> assertThat(node.mint.size()).isLessThanOrEqualTo(SETTINGS.maxTickets()));
+        fleet.nodes.forEach(node -> assertThat(node.minter.size()).isLessThanOrEqualTo(SETTINGS.maxTickets()));
     }
 
-    /** Once nothing is lost any more, every call has its verdict within the answer timeout. */
+    /**
+     * Guards against calls that get no verdict because messages were lost: each must have one within the answer
+     * timeout.
+     */
     @Property(tries = 50, seed = "22", shrinking = ShrinkingMode.OFF)
-    void everyCallGetsItsVerdictWithinTheTimeout(@ForAll long seed) {
+    void everyCallGetsVerdictWithinTimeout(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.setFaults(0.5, 0.2, 700 * MILLI);
+        fleet.network.setFaults(0.5, 0.2, 700 * NANOS_PER_MILLI);
         for (int round = 0; round < 100; round++) {
-            fleet.callerActs(fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size())));
+            fleet.simulateCaller(fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size())));
             fleet.step();
         }
-        long until = fleet.now + SETTINGS.answerTimeoutNanos() + 10 * MILLI;
+        long until = fleet.now + SETTINGS.answerTimeoutNanos() + 10 * NANOS_PER_MILLI;
         while (fleet.now < until) {
             fleet.step();
         }
@@ -217,33 +221,33 @@
     }
 
     /**
-     * Reports of outcomes get lost like everything else. A caller that asks again later must hear what became of its
-     * payout as long as the processes live, not "unknown" for good.
+     * Guards against an outcome that stays unknown because its report was lost. As long as the processes live, a caller
+     * that retries later must get the outcome of its call.
      */
     @Property(tries = 50, seed = "23", shrinking = ShrinkingMode.OFF)
-    void afterTheFleetHealsEveryOutcomeIsKnown(@ForAll long seed) {
+    void everyOutcomeIsRecordedOnceNetworkRecovers(@ForAll long seed) {
         Fleet fleet = new Fleet(seed);
-        fleet.wire.setFaults(0.4, 0.2, 700 * MILLI);
+        fleet.network.setFaults(0.4, 0.2, 700 * NANOS_PER_MILLI);
         for (int round = 0; round < 200; round++) {
-            fleet.callerActs(fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size())));
+            fleet.simulateCaller(fleet.nodes.get(fleet.random.nextInt(fleet.nodes.size())));
             fleet.step();
         }
-        fleet.wire.setFaults(0, 0, MILLI);
+        fleet.network.setFaults(0, 0, NANOS_PER_MILLI);
         for (int i = 0; i < 600; i++) {
             fleet.step();
         }
         assertThat(fleet.tickets).anyMatch(ticket -> ticket.executions > 0);
         for (Ticket ticket : fleet.tickets) {
-            fleet.outcomeKnown(ticket);
+            fleet.assertOutcomeRecorded(ticket);
         }
     }
 
-    private static void disturb(Fleet fleet, Node node) {
+    private static void injectFault(Fleet fleet, Node node) {
         switch (fleet.random.nextInt(40)) {
-            case 0 -> node.pause(fleet.now + fleet.random.nextLong(2_500 * MILLI));
+            case 0 -> node.pause(fleet.now + fleet.random.nextLong(2_500 * NANOS_PER_MILLI));
             case 1 -> node.restart(fleet.random);
-            case 2 -> fleet.wire.assignPartition(node.name, 1);
-            case 3, 4 -> fleet.nodes.forEach(each -> fleet.wire.assignPartition(each.name, 0));
+            case 2 -> fleet.network.assignPartition(node.name, 1);
+            case 3, 4 -> fleet.nodes.forEach(each -> fleet.network.assignPartition(each.name, 0));
             default -> {}
         }
     }
