--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/example/OwnerExample.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/example/OwnerExample.java
@@ -21,14 +21,15 @@
 import org.dotterelcourse.coordination.transport.PeerTransport;
 
 /**
- * Three members in one process find one another through a single seed and agree, without asking, on the owner of a
- * cell; then the owner leaves, and the others agree on the next one.
+ * Example of embedding membership and ownership: three members in one process discover each other through a seed and
+ * compute the same owner of a cell by rendezvous hashing, without exchanging messages about it. Then the owner leaves,
+ * and the members compute the same new owner.
  */
 public final class OwnerExample {
 
     private static final CellId CELL = new CellId("sabla-llm", "muscat", 0);
     private static final long SUSPECT_GRACE_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final long WAIT_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long AGREEMENT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
     private static final long POLL_MILLIS = 20;
 
     private final PeerTransport transport;
@@ -57,8 +58,8 @@
     /**
      * Runs the example.
      *
-     * @param args none
-     * @throws InterruptedException when the thread is interrupted
+     * @param args ignored
+     * @throws InterruptedException if the main thread is interrupted
      */
     public static void main(String[] args) throws InterruptedException {
         List<OwnerExample> members = new ArrayList<>();
@@ -76,8 +77,8 @@
                 member.driver.submit(new MembershipEvent.Leave());
             }
         }
-        String next = awaitAgreement(members, owner);
-        System.out.println(owner + " leaves; all three name " + next);
+        String newOwner = awaitAgreement(members, owner);
+        System.out.println(owner + " leaves; all three name " + newOwner);
         members.forEach(member -> member.transport.close());
     }
 
@@ -86,12 +87,12 @@
         return ownership.owner(CELL).map(Member::name);
     }
 
-    /** Waits until all see three members and name the same owner, other than the one before. */
-    private static String awaitAgreement(List<OwnerExample> members, String before) throws InterruptedException {
-        long end = System.nanoTime() + WAIT_NANOS;
-        while (System.nanoTime() < end) {
+    /** Waits until each member sees all members and all compute the same owner, other than the previous one. */
+    private static String awaitAgreement(List<OwnerExample> members, String previousOwner) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + AGREEMENT_TIMEOUT_NANOS;
+        while (System.nanoTime() < deadlineNanos) {
             Optional<String> first = members.get(0).owner();
-            boolean agreed = first.isPresent() && !first.get().equals(before);
+            boolean agreed = first.isPresent() && !first.get().equals(previousOwner);
             for (OwnerExample member : members) {
                 agreed &= member.view.size() == members.size() && member.owner().equals(first);
             }
@@ -100,6 +101,6 @@
             }
             Thread.sleep(POLL_MILLIS);
         }
-        throw new IllegalStateException("the members did not agree");
+        throw new IllegalStateException("the members did not agree on an owner within 30 s");
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/example/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/example/package-info.java
@@ -1,2 +1,2 @@
-/** A runnable example of embedding the coordination parts; docs/EMBEDDING.md walks through it. */
+/** Runnable example of embedding the coordination library, explained in docs/EMBEDDING.md. */
 package org.dotterelcourse.coordination.example;
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredFleet.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredFleet.java
@@ -14,71 +14,80 @@
 import org.dotterelcourse.coordination.membership.ListedVm;
 import org.dotterelcourse.coordination.transport.ChannelCount;
 
-/** Many nodes in one process, and one run of all measurements on them. */
+/** Runs all measurements on a fleet of nodes in one process. */
 final class MeasuredFleet {
 
-    private static final int SEEDS = 3;
-    private static final long BOUND_NANOS = TimeUnit.SECONDS.toNanos(120);
+    private static final int MAX_SEEDS = 3;
+    private static final long AWAIT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(120);
     private static final long POLL_MILLIS = 2;
     private static final long SETTLE_MILLIS = 8_000;
-    /** News of all joins has died out after a time that grows with their number. */
-    private static final long SETTLE_MILLIS_A_NODE = 300;
-
-    private static final int STEADY_CHANGES = 4;
-    private static final long CHANGE_PERIOD_MILLIS = 5_400;
-    private static final int TIMED_CHANGES = 5;
-    private static final long CHANGE_PAUSE_MILLIS = 1_500;
-    private static final int DISTURBED_ROUNDS = 10;
-    private static final long DISTURBED_ROUND_MILLIS = 2_000;
+    /** The gossip about all joins ends after a time that grows with the number of nodes. */
+    private static final long SETTLE_MILLIS_PER_NODE = 300;
+
+    private static final int STEADY_PUBLICATIONS = 4;
+    private static final long PUBLICATION_PERIOD_MILLIS = 5_400;
+    private static final int TIMED_PUBLICATIONS = 5;
+    private static final long PUBLICATION_PAUSE_MILLIS = 1_500;
+    private static final int FAULT_ROUNDS = 10;
+    private static final long FAULT_ROUND_MILLIS = 2_000;
     private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
-    private static final double LOSS = 0.05;
+    private static final double DATAGRAM_LOSS = 0.05;
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MILLI = 1e6;
 
-    private final MeasuredService service = new MeasuredService();
+    private final StubConfigurationService service = new StubConfigurationService();
     private final List<MeasuredNode> nodes = new ArrayList<>();
-    private final Map<String, Long> pausedUntil = new ConcurrentHashMap<>();
+    private final Map<String, Long> pausedUntilNanos = new ConcurrentHashMap<>();
     private final Random random = new Random(1);
 
     /**
-     * Results of one size.
+     * Results for one fleet size. Traffic and CPU time are measured in steady state with a configuration change every
+     * 5.4 s.
      *
      * @param size number of nodes
-     * @param joinSeconds from the start of all until each sees all
-     * @param sentBytes bytes a node sends a second, in a quiet fleet with a change of configuration every 5.4 s
-     * @param receivedBytes bytes a node receives a second
-     * @param messages messages a node sends and receives a second
-     * @param core share of a core that a node's thread uses
-     * @param processCore share of a core that the whole process uses for a node, compiler and collector included
-     * @param heapBytes heap of a node
-     * @param suspectFirst seconds from an abrupt stop until a first node suspects it
-     * @param suspectLast seconds until the last node does
-     * @param deadLast seconds until the last node takes it for dead
-     * @param ofPaused suspicions of nodes paused for 1.5 s, over all views, ten pauses and 5% loss
-     * @param ofRunning suspicions of other nodes in the same time
-     * @param falseDeaths running nodes declared dead, over all views, under loss and pauses
-     * @param changeMillis longest time until a change was in force everywhere
+     * @param joinSeconds seconds from the start of all nodes until each sees all others as alive and has a
+     *     configuration
+     * @param sentBytesPerSecond bytes per second that a node sends
+     * @param receivedBytesPerSecond bytes per second that a node receives
+     * @param messagesPerSecond messages per second that a node sends and receives
+     * @param threadCores CPU time of a node's thread as a fraction of one core
+     * @param processCores CPU time of the whole process per node as a fraction of one core, JIT compiler and garbage
+     *     collector included
+     * @param heapBytes heap usage per node
+     * @param firstSuspectSeconds seconds from the abrupt stop of a node until the first node suspects it
+     * @param lastSuspectSeconds seconds from the stop until the last node suspects it
+     * @param lastDeadSeconds seconds from the stop until the last node declares it dead
+     * @param suspicionsOfPaused number of suspicions of nodes paused for 1.5 s, summed over all views, with ten pauses
+     *     and 5% datagram loss
+     * @param suspicionsOfRunning number of suspicions of other nodes in the same period
+     * @param falseDeclarations number of running nodes declared dead under loss and pauses, summed over all views
+     * @param propagationMillis maximum time in milliseconds until a configuration change was in force at all nodes
      */
     record Result(
             int size,
             double joinSeconds,
-            double sentBytes,
-            double receivedBytes,
-            double messages,
-            double core,
-            double processCore,
+            double sentBytesPerSecond,
+            double receivedBytesPerSecond,
+            double messagesPerSecond,
+            double threadCores,
+            double processCores,
             double heapBytes,
-            double suspectFirst,
-            double suspectLast,
-            double deadLast,
-            long ofPaused,
-            long ofRunning,
-            long falseDeaths,
-            double changeMillis) {}
+            double firstSuspectSeconds,
+            double lastSuspectSeconds,
+            double lastDeadSeconds,
+            long suspicionsOfPaused,
+            long suspicionsOfRunning,
+            long falseDeclarations,
+            double propagationMillis) {}
 
-    private record Traffic(double sent, double received, double messages, double core, double processCore) {}
+    private record Traffic(
+            double sentBytesPerSecond,
+            double receivedBytesPerSecond,
+            double messagesPerSecond,
+            double threadCores,
+            double processCores) {}
 
-    private record Detection(double suspectFirst, double suspectLast, double deadLast) {}
+    private record Detection(double firstSuspectSeconds, double lastSuspectSeconds, double lastDeadSeconds) {}
 
     static Result measure(int size) throws InterruptedException {
         MeasuredFleet fleet = new MeasuredFleet();
@@ -90,113 +99,116 @@
     }
 
     private Result run(int size) throws InterruptedException {
-        long heapBefore = heap();
-        double join = start(size);
-        Thread.sleep(SETTLE_MILLIS + size * SETTLE_MILLIS_A_NODE);
-        Traffic traffic = steady();
-        double heap = (double) (heap() - heapBefore) / size;
-        double change = changes();
+        long heapBefore = usedHeapBytes();
+        double joinSeconds = startNodes(size);
+        Thread.sleep(SETTLE_MILLIS + size * SETTLE_MILLIS_PER_NODE);
+        Traffic traffic = measureSteadyState();
+        double heapBytes = (double) (usedHeapBytes() - heapBefore) / size;
+        double propagationMillis = measurePropagation();
         long pausedBefore = sum(MeasuredNode::suspicionsOfPaused);
         long runningBefore = sum(MeasuredNode::suspicionsOfRunning);
-        long deathsBefore = deaths();
-        disturb();
-        long ofPaused = sum(MeasuredNode::suspicionsOfPaused) - pausedBefore;
-        long ofRunning = sum(MeasuredNode::suspicionsOfRunning) - runningBefore;
-        long falseDeaths = deaths() - deathsBefore;
-        await(() -> nodes.stream().allMatch(node -> node.alive() == size - 1));
-        Detection detection = detect();
+        long declarationsBefore = deadDeclarations();
+        injectFaults();
+        long suspicionsOfPaused = sum(MeasuredNode::suspicionsOfPaused) - pausedBefore;
+        long suspicionsOfRunning = sum(MeasuredNode::suspicionsOfRunning) - runningBefore;
+        long falseDeclarations = deadDeclarations() - declarationsBefore;
+        await(() -> nodes.stream().allMatch(node -> node.aliveCount() == size - 1));
+        Detection detection = measureDetection();
         return new Result(
                 size,
-                join,
-                traffic.sent,
-                traffic.received,
-                traffic.messages,
-                traffic.core,
-                traffic.processCore,
-                heap,
-                detection.suspectFirst,
-                detection.suspectLast,
-                detection.deadLast,
-                ofPaused,
-                ofRunning,
-                falseDeaths,
-                change);
+                joinSeconds,
+                traffic.sentBytesPerSecond,
+                traffic.receivedBytesPerSecond,
+                traffic.messagesPerSecond,
+                traffic.threadCores,
+                traffic.processCores,
+                heapBytes,
+                detection.firstSuspectSeconds,
+                detection.lastSuspectSeconds,
+                detection.lastDeadSeconds,
+                suspicionsOfPaused,
+                suspicionsOfRunning,
+                falseDeclarations,
+                propagationMillis);
     }
 
-    private double start(int size) throws InterruptedException {
+    private double startNodes(int size) throws InterruptedException {
         for (int i = 0; i < size; i++) {
-            nodes.add(new MeasuredNode(i, service, pausedUntil));
+            nodes.add(new MeasuredNode(i, service, pausedUntilNanos));
         }
         List<ListedVm> seeds = new ArrayList<>();
-        for (MeasuredNode node : nodes.subList(0, Math.min(SEEDS, size))) {
-            seeds.add(node.listed());
+        for (MeasuredNode node : nodes.subList(0, Math.min(MAX_SEEDS, size))) {
+            seeds.add(node.listedVm());
         }
         long before = System.nanoTime();
         for (MeasuredNode node : nodes) {
             List<ListedVm> others = new ArrayList<>(seeds);
-            others.remove(node.listed());
+            others.remove(node.listedVm());
             node.start(others);
         }
-        await(() -> nodes.stream().allMatch(node -> node.alive() == size - 1 && node.number() > 0));
+        await(() -> nodes.stream().allMatch(node -> node.aliveCount() == size - 1 && node.configurationNumber() > 0));
         return secondsSince(before);
     }
 
-    private Traffic steady() throws InterruptedException {
-        long[] before = traffic();
+    private Traffic measureSteadyState() throws InterruptedException {
+        long[] before = trafficTotals();
         long start = System.nanoTime();
-        long process = processNanos();
-        long threads = sum(MeasuredNode::processorNanos);
-        for (int i = 0; i < STEADY_CHANGES; i++) {
+        long processBefore = processCpuNanos();
+        long threadsBefore = sum(MeasuredNode::threadCpuNanos);
+        for (int i = 0; i < STEADY_PUBLICATIONS; i++) {
             service.publish();
-            Thread.sleep(CHANGE_PERIOD_MILLIS);
+            Thread.sleep(PUBLICATION_PERIOD_MILLIS);
         }
         double perNode = secondsSince(start) * nodes.size();
-        long[] after = traffic();
-        double core = (sum(MeasuredNode::processorNanos) - threads) / NANOS_PER_SECOND / perNode;
-        double processCore = (processNanos() - process) / NANOS_PER_SECOND / perNode;
+        long[] after = trafficTotals();
+        double threadCores = (sum(MeasuredNode::threadCpuNanos) - threadsBefore) / NANOS_PER_SECOND / perNode;
+        double processCores = (processCpuNanos() - processBefore) / NANOS_PER_SECOND / perNode;
         return new Traffic(
                 (after[0] - before[0]) / perNode,
                 (after[1] - before[1]) / perNode,
                 (after[2] - before[2]) / perNode,
-                core,
-                processCore);
+                threadCores,
+                processCores);
     }
 
-    private double changes() throws InterruptedException {
+    private double measurePropagation() throws InterruptedException {
         double longest = 0;
-        for (int i = 0; i < TIMED_CHANGES; i++) {
+        for (int i = 0; i < TIMED_PUBLICATIONS; i++) {
             long before = System.nanoTime();
             long number = service.publish();
-            await(() -> nodes.stream().allMatch(node -> node.number() >= number));
+            await(() -> nodes.stream().allMatch(node -> node.configurationNumber() >= number));
             longest = Math.max(longest, (System.nanoTime() - before) / NANOS_PER_MILLI);
-            Thread.sleep(CHANGE_PAUSE_MILLIS);
+            Thread.sleep(PUBLICATION_PAUSE_MILLIS);
         }
         return longest;
     }
 
-    /** Loss at every node, and one paused node at a time; each pause is shorter than the time to refute. */
-    private void disturb() throws InterruptedException {
-        nodes.forEach(node -> node.lose(LOSS));
-        for (int i = 0; i < DISTURBED_ROUNDS; i++) {
+    /**
+     * Drops datagrams at every node and pauses one node at a time. Each pause is shorter than the time in which a node
+     * can refute a suspicion.
+     */
+    private void injectFaults() throws InterruptedException {
+        nodes.forEach(node -> node.setDatagramLoss(DATAGRAM_LOSS));
+        for (int i = 0; i < FAULT_ROUNDS; i++) {
             nodes.get(random.nextInt(nodes.size())).pause(PAUSE_NANOS);
-            Thread.sleep(DISTURBED_ROUND_MILLIS);
+            Thread.sleep(FAULT_ROUND_MILLIS);
         }
-        nodes.forEach(node -> node.lose(0));
+        nodes.forEach(node -> node.setDatagramLoss(0));
     }
 
-    private Detection detect() throws InterruptedException {
-        MeasuredNode lost = nodes.remove(nodes.size() - 1);
+    private Detection measureDetection() throws InterruptedException {
+        MeasuredNode stopped = nodes.remove(nodes.size() - 1);
         long before = System.nanoTime();
-        lost.stop();
-        await(() -> nodes.stream().allMatch(node -> since(node.dead(lost.name()), before) > 0));
+        stopped.stop();
+        await(() -> nodes.stream().allMatch(node -> secondsBetween(node.deadNanos(stopped.name()), before) > 0));
         double first = Double.MAX_VALUE;
         double last = 0;
         double dead = 0;
         for (MeasuredNode node : nodes) {
-            double suspected = since(node.suspected(lost.name()), before);
+            double suspected = secondsBetween(node.suspectedNanos(stopped.name()), before);
             first = Math.min(first, suspected);
             last = Math.max(last, suspected);
-            dead = Math.max(dead, since(node.dead(lost.name()), before));
+            dead = Math.max(dead, secondsBetween(node.deadNanos(stopped.name()), before));
         }
         return new Detection(first, last, dead);
     }
@@ -205,11 +217,11 @@
         return nodes.stream().mapToLong(value).sum();
     }
 
-    private long deaths() {
-        return sum(MeasuredNode::deaths);
+    private long deadDeclarations() {
+        return sum(MeasuredNode::deadCount);
     }
 
-    private long[] traffic() {
+    private long[] trafficTotals() {
         long[] sum = new long[3];
         for (MeasuredNode node : nodes) {
             for (ChannelCount count : node.counts().values()) {
@@ -221,19 +233,19 @@
         return sum;
     }
 
-    private static double since(Long nanos, long before) {
-        return nanos == null ? -1 : (nanos - before) / NANOS_PER_SECOND;
+    private static double secondsBetween(Long nanos, long startNanos) {
+        return nanos == null ? -1 : (nanos - startNanos) / NANOS_PER_SECOND;
     }
 
-    private static double secondsSince(long before) {
-        return (System.nanoTime() - before) / NANOS_PER_SECOND;
+    private static double secondsSince(long startNanos) {
+        return (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     }
 
-    private static long processNanos() {
+    private static long processCpuNanos() {
         return ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean()).getProcessCpuTime();
     }
 
-    private static long heap() throws InterruptedException {
+    private static long usedHeapBytes() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             System.gc();
             Thread.sleep(100);
@@ -242,10 +254,10 @@
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + BOUND_NANOS;
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new IllegalStateException("condition not met within the bound");
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IllegalStateException("condition not met within 120 s");
             }
             Thread.sleep(POLL_MILLIS);
         }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/MeasuredNode.java
@@ -28,13 +28,13 @@
 import org.dotterelcourse.coordination.transport.ChannelCount;
 import org.dotterelcourse.coordination.transport.PeerTransport;
 
-/** One node as a daemon embeds it, with what is needed to observe and to disturb it. */
+/** A node with the same coordination components as a daemon, instrumented for measurements and fault injection. */
 final class MeasuredNode {
 
     private static final int DATA_CENTRES = 7;
     private static final int REGIONS = 3;
-    /** News of a suspicion may still spread when the pause has ended. */
-    private static final long NEWS_NANOS = 2_000_000_000L;
+    /** Time for which the gossip about a suspicion may still spread after the pause has ended. */
+    private static final long SUSPICION_SPREAD_NANOS = 2_000_000_000L;
 
     private static final long TICK_NANOS = MembershipSettings.STANDARD.tickNanos();
 
@@ -43,26 +43,26 @@
     private final Membership membership;
     private final MembershipDriver membershipDriver;
     private final ConfigurationDriver configurationDriver;
-    private final MeasuredService service;
+    private final StubConfigurationService service;
     private final Map<String, MemberState> states = new ConcurrentHashMap<>();
     private final Map<String, Long> suspectedNanos = new ConcurrentHashMap<>();
     private final Map<String, Long> deadNanos = new ConcurrentHashMap<>();
     private final AtomicLong suspicionsOfPaused = new AtomicLong();
     private final AtomicLong suspicionsOfRunning = new AtomicLong();
-    private final Map<String, Long> pausedUntil;
-    private volatile long number;
+    private final Map<String, Long> pausedUntilNanos;
+    private volatile long configurationNumber;
     private volatile long threadId;
     private Payload payload;
 
-    /** The nodes share the times until which they are paused. */
-    MeasuredNode(int index, MeasuredService service, Map<String, Long> pausedUntil) {
-        this.pausedUntil = pausedUntil;
+    /** Creates a node. The map of monotonic times until which nodes are paused is shared by all nodes. */
+    MeasuredNode(int index, StubConfigurationService service, Map<String, Long> pausedUntilNanos) {
+        this.pausedUntilNanos = pausedUntilNanos;
         this.name = "entry-" + index;
         this.service = service;
         int dataCentre = index % DATA_CENTRES;
         MemberId id = new MemberId(name, 1);
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        transport = PeerTransport.builder().bind(any).self(id).build().start();
+        InetSocketAddress bindAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        transport = PeerTransport.builder().bind(bindAddress).self(id).build().start();
         payload = new Payload(
                 "127.0.0.1:" + transport.port(), "centre-" + dataCentre, "region-" + dataCentre % REGIONS, 0, 0, 0);
         long now = System.nanoTime();
@@ -73,9 +73,9 @@
                 .random(new Random(index))
                 .build(now);
         ConfigurationRelay relay =
-                new ConfigurationRelay(MeasuredService::fold, RelaySettings.STANDARD, new Random(index), now);
-        membershipDriver = new MembershipDriver(transport, membership, this::membershipTold);
-        configurationDriver = new ConfigurationDriver(transport, relay, this::relayTold);
+                new ConfigurationRelay(StubConfigurationService::fold, RelaySettings.STANDARD, new Random(index), now);
+        membershipDriver = new MembershipDriver(transport, membership, this::onMembershipEffect);
+        configurationDriver = new ConfigurationDriver(transport, relay, this::onRelayEffect);
     }
 
     void start(List<ListedVm> seeds) {
@@ -93,22 +93,22 @@
         return name;
     }
 
-    ListedVm listed() {
+    ListedVm listedVm() {
         return new ListedVm(name, transport.address());
     }
 
-    void answer(RelayEvent event, long delayNanos) {
-        later(() -> configurationDriver.handle(event), delayNanos);
+    void deliverToRelay(RelayEvent event, long delayNanos) {
+        schedule(() -> configurationDriver.handle(event), delayNanos);
     }
 
-    void later(Runnable task, long delayNanos) {
+    void schedule(Runnable task, long delayNanos) {
         transport.scheduleOnce(delayNanos, task);
     }
 
-    /** Blocks the node's thread, as when its host stalls. */
+    /** Blocks the node's thread, as a stall of its host would. */
     void pause(long nanos) {
         long until = System.nanoTime() + nanos;
-        pausedUntil.put(name, until);
+        pausedUntilNanos.put(name, until);
         transport.execute(() -> {
             while (System.nanoTime() < until) {
                 LockSupport.parkNanos(until - System.nanoTime());
@@ -116,19 +116,19 @@
         });
     }
 
-    /** Drops a share of the datagrams that this node sends. */
-    void lose(double share) {
-        transport.simulateDatagramLoss(share);
+    /** Drops a fraction of the datagrams that this node sends. */
+    void setDatagramLoss(double fraction) {
+        transport.simulateDatagramLoss(fraction);
     }
 
-    long alive() {
+    long aliveCount() {
         return states.values().stream()
                 .filter(state -> state == MemberState.ALIVE)
                 .count();
     }
 
-    long number() {
-        return number;
+    long configurationNumber() {
+        return configurationNumber;
     }
 
     long suspicionsOfPaused() {
@@ -139,20 +139,20 @@
         return suspicionsOfRunning.get();
     }
 
-    /** Processor time of the node's own thread, in nanoseconds. */
-    long processorNanos() {
+    /** CPU time of the node's thread in nanoseconds. */
+    long threadCpuNanos() {
         return ManagementFactory.getThreadMXBean().getThreadCpuTime(threadId);
     }
 
-    int deaths() {
+    int deadCount() {
         return deadNanos.size();
     }
 
-    Long suspected(String other) {
+    Long suspectedNanos(String other) {
         return suspectedNanos.get(other);
     }
 
-    Long dead(String other) {
+    Long deadNanos(String other) {
         return deadNanos.get(other);
     }
 
@@ -160,20 +160,21 @@
         return transport.counts();
     }
 
-    private void membershipTold(MembershipEffect effect) {
+    private void onMembershipEffect(MembershipEffect effect) {
         if (effect instanceof MembershipEffect.MemberChanged changed) {
-            note(changed.member());
+            recordState(changed.member());
         }
         configurationDriver.membershipChanged(effect, membership.self(), membership.members());
     }
 
-    private void note(Member member) {
-        MemberState before = states.put(member.name(), member.state());
-        if (before == member.state()) {
+    private void recordState(Member member) {
+        MemberState previous = states.put(member.name(), member.state());
+        if (previous == member.state()) {
             return;
         }
         if (member.state() == MemberState.SUSPECT) {
-            boolean paused = System.nanoTime() < pausedUntil.getOrDefault(member.name(), 0L) + NEWS_NANOS;
+            boolean paused =
+                    System.nanoTime() < pausedUntilNanos.getOrDefault(member.name(), 0L) + SUSPICION_SPREAD_NANOS;
             (paused ? suspicionsOfPaused : suspicionsOfRunning).incrementAndGet();
             suspectedNanos.put(member.name(), System.nanoTime());
         } else if (member.state() == MemberState.DEAD) {
@@ -181,14 +182,14 @@
         }
     }
 
-    private void relayTold(RelayEffect effect) {
+    private void onRelayEffect(RelayEffect effect) {
         if (effect instanceof RelayEffect.InForce changed) {
-            number = changed.content().number();
+            configurationNumber = changed.content().number();
         } else if (effect instanceof RelayEffect.Advanced advanced) {
             payload = payload.withConfiguration(advanced.position(), advanced.digest());
             membershipDriver.handle(new MembershipEvent.PayloadChanged(payload));
         } else {
-            service.read(this, effect);
+            service.handleRead(this, effect);
         }
     }
 }
--- a/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/package-info.java
+++ b/dotterelcourse-coordination/src/main/java/org/dotterelcourse/coordination/measure/package-info.java
@@ -1,2 +1,2 @@
-/** Measures membership and the configuration relay with many nodes in one process over loopback. */
+/** Measurements of membership, the configuration relay and the peer transport, in one process over loopback. */
 package org.dotterelcourse.coordination.measure;
