--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -14,13 +14,13 @@
 import org.dotterelcourse.configuration.Customer;
 import org.dotterelcourse.coordination.limit.Amount;
 import org.dotterelcourse.coordination.limit.Budget;
+import org.dotterelcourse.coordination.limit.ChargeResult;
 import org.dotterelcourse.coordination.limit.LimitClient;
 import org.dotterelcourse.coordination.limit.LimitCodec;
 import org.dotterelcourse.coordination.limit.LimitEffect;
-import org.dotterelcourse.coordination.limit.LimitHome;
 import org.dotterelcourse.coordination.limit.LimitMessage;
+import org.dotterelcourse.coordination.limit.LimitOwner;
 import org.dotterelcourse.coordination.limit.LimitSettings;
-import org.dotterelcourse.coordination.limit.Taking;
 import org.dotterelcourse.coordination.membership.Member;
 import org.dotterelcourse.coordination.membership.MemberState;
 import org.dotterelcourse.coordination.ownership.Ownership;
@@ -67,7 +67,7 @@
     private Peers peers;
     private String region;
     private LimitClient client;
-    private LimitHome home;
+    private LimitOwner home;
     private Ownership ownership;
     private Configuration configuration;
 
@@ -88,9 +88,9 @@
         loop = kernel.find(ControlLoop.NAME);
         peers = kernel.find(Peers.NAME);
         region = peers.region();
-        LimitSettings settings = LimitSettings.defaults().withOpening(1);
+        LimitSettings settings = LimitSettings.defaults().withInitialFill(1);
         client = new LimitClient(peers.incarnation(), settings, this::homeOf);
-        home = new LimitHome(settings, loop.nowNanos());
+        home = new LimitOwner(settings, loop.nowNanos());
         ownership = new Ownership(List.of(), 0, loop.nowNanos());
         peers.registerListener(CHANNEL, this::received);
         peers.onView(this::view);
@@ -117,17 +117,17 @@
     }
 
     private void take(Waiting call) {
-        Taking taking = client.take(call.customer(), call.tokens(), loop.nowNanos());
-        if (taking instanceof Taking.UnknownCustomer && meet(call.customer())) {
-            taking = client.take(call.customer(), call.tokens(), loop.nowNanos());
+        ChargeResult taking = client.charge(call.customer(), call.tokens(), loop.nowNanos());
+        if (taking instanceof ChargeResult.UnknownCustomer && meet(call.customer())) {
+            taking = client.charge(call.customer(), call.tokens(), loop.nowNanos());
         }
-        if (taking instanceof Taking.Taken taken) {
+        if (taking instanceof ChargeResult.Charged taken) {
             call.sink().success(new Charge.Charged(used -> settle(call.customer(), taken.charged(), used)));
             carryOut(taken.effects());
-        } else if (taking instanceof Taking.Waiting waits) {
+        } else if (taking instanceof ChargeResult.AwaitingSlice waits) {
             waiting.computeIfAbsent(call.customer(), name -> new ArrayDeque<>()).add(call);
             carryOut(waits.effects());
-        } else if (taking instanceof Taking.OverBudget over) {
+        } else if (taking instanceof ChargeResult.OverBudget over) {
             overBudget(call, over.retryAfterNanos());
         } else {
             // The customer left the configuration between its request's arrival and now.
@@ -160,7 +160,7 @@
         Optional<Budget> budget = budget(customer);
         budget.ifPresent(known -> {
             met.add(customer);
-            client.budget(customer, known, loop.nowNanos());
+            client.setBudget(customer, known, loop.nowNanos());
         });
         return budget.isPresent();
     }
@@ -185,10 +185,10 @@
 
     private void dispatch(String from, LimitMessage message) {
         if (message instanceof LimitMessage.Slices slices) {
-            carryOut(client.on(slices, loop.nowNanos()));
+            carryOut(client.onMessage(slices, loop.nowNanos()));
         } else if (message instanceof LimitMessage.Wants wants) {
             wants.wants().forEach(want -> holdIfOurs(want.customer()));
-            carryOut(home.on(from, wants, loop.nowNanos()));
+            carryOut(home.onMessage(from, wants, loop.nowNanos()));
         }
     }
 
@@ -197,9 +197,9 @@
         Optional<Budget> budget = budget(customer);
         boolean ours = homeOf(customer).filter(peers.self()::equals).isPresent();
         if (ours && budget.isPresent()) {
-            home.hold(customer, budget.get(), loop.nowNanos());
+            home.setBudget(customer, budget.get(), loop.nowNanos());
         } else {
-            home.drop(customer);
+            home.removeCustomer(customer);
         }
     }
 
@@ -230,7 +230,7 @@
 
     private void view(List<Member> members) {
         ownership = new Ownership(members, Peers.SUSPECT_GRACE_NANOS, loop.nowNanos());
-        client.members((int) members.stream()
+        client.setLiveMembers((int) members.stream()
                 .filter(member -> member.state() == MemberState.ALIVE)
                 .count());
     }
@@ -239,9 +239,9 @@
         configuration = next;
         met.removeIf(customer -> {
             Optional<Budget> budget = budget(customer);
-            budget.ifPresent(known -> client.budget(customer, known, loop.nowNanos()));
+            budget.ifPresent(known -> client.setBudget(customer, known, loop.nowNanos()));
             if (budget.isEmpty()) {
-                client.forget(customer);
+                client.removeCustomer(customer);
             }
             return budget.isEmpty();
         });
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -9,9 +9,9 @@
 import org.dotterelcourse.coordination.MemberId;
 import org.dotterelcourse.coordination.ticket.IdempotencyTable;
 import org.dotterelcourse.coordination.ticket.TicketCodec;
-import org.dotterelcourse.coordination.ticket.TicketDesk;
+import org.dotterelcourse.coordination.ticket.TicketCoordinator;
 import org.dotterelcourse.coordination.ticket.TicketEffect;
-import org.dotterelcourse.coordination.ticket.TicketMint;
+import org.dotterelcourse.coordination.ticket.TicketMinter;
 import org.dotterelcourse.coordination.ticket.TicketOutcome;
 import org.dotterelcourse.coordination.ticket.TicketSettings;
 import org.dotterelcourse.coordination.ticket.TicketVerdict;
@@ -46,8 +46,8 @@
     private final IdempotencyTable keys = new IdempotencyTable(MAX_KEYS, MAX_KEYS_PER_CUSTOMER, KEY_LIFETIME_NANOS);
     private ControlLoop loop;
     private Peers peers;
-    private TicketMint mint;
-    private TicketDesk desk;
+    private TicketMinter mint;
+    private TicketCoordinator desk;
 
     /**
      * What came of a ticketed call's question whether it may run.
@@ -75,8 +75,8 @@
         byte[] key = new byte[KEY_BYTES];
         new SecureRandom().nextBytes(key);
         TicketSettings settings = TicketSettings.defaults();
-        mint = new TicketMint(self, key, settings);
-        desk = new TicketDesk(self, mint, settings);
+        mint = new TicketMinter(self, key, settings);
+        desk = new TicketCoordinator(self, mint, settings);
         peers.registerListener(CHANNEL, this::received);
         loop.schedulePeriodically(TICK, () -> carryOut(desk.advance(loop.nowNanos())));
         return List.of();
@@ -93,7 +93,7 @@
      * @param customer the only customer who may spend it
      * @return the ticket, or when to ask again
      */
-    public Mono<TicketMint.Minting> mint(String customer) {
+    public Mono<TicketMinter.MintResult> mint(String customer) {
         return Mono.create(sink -> loop.execute(() -> sink.success(mint.mint(customer, loop.nowNanos()))));
     }
 
@@ -126,7 +126,7 @@
      * @param outcome what became of it
      */
     public void finished(long request, TicketOutcome outcome) {
-        loop.execute(() -> carryOut(desk.finished(request, outcome, loop.nowNanos())));
+        loop.execute(() -> carryOut(desk.recordOutcome(request, outcome, loop.nowNanos())));
     }
 
     /**
@@ -135,11 +135,11 @@
      * @param customer its customer
      * @param key the key
      * @param fingerprint a hash of the call
-     * @return what it may do; with {@link IdempotencyTable.Entering.First}, {@link #keyFinished} must be called
+     * @return what it may do; with {@link IdempotencyTable.Registration.First}, {@link #keyFinished} must be called
      */
-    public Mono<IdempotencyTable.Entering> enterKey(String customer, String key, long fingerprint) {
+    public Mono<IdempotencyTable.Registration> enterKey(String customer, String key, long fingerprint) {
         return Mono.create(
-                sink -> loop.execute(() -> sink.success(keys.enter(customer, key, fingerprint, loop.nowNanos()))));
+                sink -> loop.execute(() -> sink.success(keys.register(customer, key, fingerprint, loop.nowNanos()))));
     }
 
     /**
@@ -150,17 +150,17 @@
      * @param outcome what became of it
      */
     public void keyFinished(String customer, String key, TicketOutcome outcome) {
-        loop.execute(() -> keys.finished(customer, key, outcome, loop.nowNanos()));
+        loop.execute(() -> keys.recordOutcome(customer, key, outcome, loop.nowNanos()));
     }
 
-    private void started(TicketDesk.Started started, MonoSink<Spending> sink) {
+    private void started(TicketCoordinator.Started started, MonoSink<Spending> sink) {
         waiting.put(started.request(), sink);
         carryOut(started.effects());
     }
 
     private void received(String from, byte[] body) {
         if (TicketCodec.decode(body) instanceof TicketCodec.Decoded.Message decoded) {
-            carryOut(desk.on(from, decoded.message(), loop.nowNanos()));
+            carryOut(desk.onMessage(from, decoded.message(), loop.nowNanos()));
         }
     }
 
