--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellContext.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellContext.java
@@ -7,14 +7,14 @@
 import org.dotterelcourse.daemon.dispatch.SchedulerFactory;
 
 /**
- * What all cells of a daemon share.
+ * Dependencies shared by all cells of a daemon.
  *
- * @param self the daemon's name
- * @param settings times and bounds of the grant protocol
- * @param schedulers makes the scheduler of each cell
- * @param random draws terms
- * @param wire carries messages
- * @param audit hears of changes
+ * @param self the name of this daemon
+ * @param settings timeouts and limits of the grant protocol
+ * @param schedulers creates the scheduler of each cell
+ * @param random source of randomness for the grant terms and retry times
+ * @param wire sends grant messages to cluster members
+ * @param audit records changes of ownership and mode
  */
 record CellContext(
         String self,
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellMap.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellMap.java
@@ -13,29 +13,29 @@
 import org.dotterelcourse.coordination.ownership.Cells;
 import org.dotterelcourse.policy.cell.WorkerInfo;
 
-/** Cuts the upstreams of a configuration into cells: a pure function of what is published. */
+/** Partitions the upstreams of a configuration into cells. The result depends only on the published data. */
 final class CellMap {
     private CellMap() {}
 
     /**
-     * Cuts.
+     * Partitions all upstreams of a configuration.
      *
-     * @param configuration the configuration in force
-     * @param leaving names of the workers that the platform is taking away
-     * @return the cells, by their key, in the order of upstreams and indexes
+     * @param configuration the active configuration
+     * @param leaving names of the workers that the platform is about to remove
+     * @return the cells by cell key, sorted by key
      */
     static Map<String, CellWorkers> of(Configuration configuration, Set<String> leaving) {
         Map<String, CellWorkers> cells = new TreeMap<>();
         for (Upstream upstream : configuration.upstreams()) {
             List<String> names = upstream.workers().stream().map(Worker::name).toList();
             for (Cell cell : Cells.partition(upstream.name(), upstream.region(), names)) {
-                cells.put(cell.id().key(), workers(cell, upstream, leaving));
+                cells.put(cell.id().key(), cellWorkers(cell, upstream, leaving));
             }
         }
         return cells;
     }
 
-    private static CellWorkers workers(Cell cell, Upstream upstream, Set<String> leaving) {
+    private static CellWorkers cellWorkers(Cell cell, Upstream upstream, Set<String> leaving) {
         Map<String, Worker> workers = new TreeMap<>();
         List<WorkerInfo> infos = new ArrayList<>();
         for (Worker worker : upstream.workers()) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -23,12 +23,15 @@
 import org.dotterelcourse.policy.cell.WorkerReport;
 import reactor.core.publisher.MonoSink;
 
-/** One cell as this daemon takes part in it: its asks, and the cell's queue while it owns it. For the control loop only. */
+/**
+ * This daemon's role in one cell: it requests grants as a client and, while it owns the cell, also schedules the cell's
+ * requests. Not thread-safe; used on the control loop only.
+ */
 final class CellRuntime {
     private static final long UNKNOWN_WORKER_RETRY_NANOS = 500_000_000L;
 
-    /** Nobody waits longer at a counter or a desk; a request that does is told so. */
-    private static final long LONGEST_WAIT_NANOS = 600_000_000_000L;
+    /** Callers at a counter or a desk don't wait longer than this, so a request that does is refused as too late. */
+    private static final long MAX_WAIT_NANOS = 600_000_000_000L;
 
     private final String key;
     private final String self;
@@ -42,10 +45,10 @@
     private final WaitingCallers callers;
     private CellWorkers published;
     private SchedulerArbiter ownedArbiter;
-    private CellOwner owned;
+    private CellOwner ownedCell;
     private String ownerName = "";
 
-    CellRuntime(CellWorkers published, long life, CellContext context) {
+    CellRuntime(CellWorkers published, long incarnation, CellContext context) {
         this.key = published.key();
         this.self = context.self();
         this.settings = context.settings();
@@ -55,7 +58,7 @@
         this.audit = context.audit();
         this.published = published;
         this.localArbiter = new SchedulerArbiter(schedulers.create(key));
-        this.client = new CellClient(key, life, settings, localArbiter, random);
+        this.client = new CellClient(key, incarnation, settings, localArbiter, random);
         this.callers = new WaitingCallers(key);
     }
 
@@ -68,20 +71,20 @@
     }
 
     boolean isOwner() {
-        return owned != null;
+        return ownedCell != null;
     }
 
-    /** What the cell's scheduler holds, if this daemon owns it; and what this daemon's own asks are. */
+    /** Returns this daemon's own request counts and, if it owns the cell, those of the cell's scheduler. */
     CellStatus status() {
-        int waiting = owned == null ? 0 : ownedArbiter.waiting();
-        int held = owned == null ? 0 : owned.size();
+        int waiting = ownedCell == null ? 0 : ownedArbiter.waiting();
+        int tracked = ownedCell == null ? 0 : ownedCell.size();
         return new CellStatus(
                 key,
                 ownerName,
                 client.isLocalMode(),
                 client.size(),
                 waiting,
-                held,
+                tracked,
                 published.infos().size());
     }
 
@@ -89,113 +92,114 @@
         return client.size();
     }
 
-    void workers(CellWorkers next, List<String> daemons, long nowNanos) {
-        published = next;
-        localArbiter.workers(LocalShare.of(next.infos(), self, daemons), nowNanos);
-        if (owned != null) {
-            ownedArbiter.workers(next.infos(), nowNanos);
+    void updateWorkers(CellWorkers newPublished, List<String> daemons, long nowNanos) {
+        published = newPublished;
+        localArbiter.updateWorkers(LocalShare.of(newPublished.infos(), self, daemons), nowNanos);
+        if (ownedCell != null) {
+            ownedArbiter.updateWorkers(newPublished.infos(), nowNanos);
         }
     }
 
     long lastGrant() {
-        return owned == null ? 0 : ownedArbiter.lastGrant();
+        return ownedCell == null ? 0 : ownedArbiter.lastGrant();
     }
 
-    boolean hasGrantUpTo(String worker, long mark) {
-        return owned != null && ownedArbiter.hasGrantUpTo(worker, mark);
+    boolean hasGrantUpTo(String worker, long grantNumber) {
+        return ownedCell != null && ownedArbiter.hasGrantUpTo(worker, grantNumber);
     }
 
-    void report(WorkerReport report, long nowNanos) {
-        if (owned != null) {
-            ownedArbiter.report(report, nowNanos);
+    void recordLoadReport(WorkerReport report, long nowNanos) {
+        if (ownedCell != null) {
+            ownedArbiter.recordLoadReport(report, nowNanos);
         }
     }
 
-    void ownerIs(String next, Set<String> askers, long nowNanos) {
-        if (next.equals(ownerName)) {
+    void updateOwner(String newOwner, Set<String> clients, long nowNanos) {
+        if (newOwner.equals(ownerName)) {
             return;
         }
-        audit.add(AuditEvent.Kind.OWNERSHIP, key, "the membership has changed", ownerName, next);
-        ownerName = next;
-        if (owned != null && !next.equals(self)) {
-            owner(owned.resign(next, nowNanos), nowNanos);
-            owned = null;
+        audit.add(AuditEvent.Kind.OWNERSHIP, key, "the membership has changed", ownerName, newOwner);
+        ownerName = newOwner;
+        if (ownedCell != null && !newOwner.equals(self)) {
+            applyOwnerEffects(ownedCell.resign(newOwner, nowNanos), nowNanos);
+            ownedCell = null;
         }
-        if (next.equals(self)) {
-            takeOver(askers, nowNanos);
+        if (newOwner.equals(self)) {
+            takeOver(clients, nowNanos);
         }
-        client(client.ownerChanged(next.isEmpty() ? Optional.empty() : Optional.of(next), nowNanos), nowNanos);
+        applyClientEffects(
+                client.ownerChanged(newOwner.isEmpty() ? Optional.empty() : Optional.of(newOwner), nowNanos), nowNanos);
     }
 
-    private void takeOver(Set<String> askers, long nowNanos) {
+    private void takeOver(Set<String> clients, long nowNanos) {
         ownedArbiter = new SchedulerArbiter(schedulers.create(key));
-        ownedArbiter.workers(published.infos(), nowNanos);
-        owned = CellOwner.builder(key, ownedArbiter, random)
+        ownedArbiter.updateWorkers(published.infos(), nowNanos);
+        ownedCell = CellOwner.builder(key, ownedArbiter, random)
                 .settings(settings)
-                .expectedClients(askers)
+                .expectedClients(clients)
                 .takeOver(nowNanos);
     }
 
-    void askerGone(String member, long nowNanos) {
-        if (owned != null) {
-            owner(owned.onClientDead(member, nowNanos), nowNanos);
+    void onClientDead(String member, long nowNanos) {
+        if (ownedCell != null) {
+            applyOwnerEffects(ownedCell.onClientDead(member, nowNanos), nowNanos);
         }
     }
 
-    long ask(CellRequest ask, MonoSink<GrantResult> sink, long nowNanos) {
+    long ask(CellRequest request, MonoSink<GrantResult> sink, long nowNanos) {
         ClientEffect.Asked asked = client.ask(
-                ask.arrivalNanos(), ask.arrivalNanos() + LONGEST_WAIT_NANOS, TermsCodec.encode(ask), nowNanos);
+                request.arrivalNanos(), request.arrivalNanos() + MAX_WAIT_NANOS, TermsCodec.encode(request), nowNanos);
         callers.add(asked.ask(), sink);
-        client(asked.effects(), nowNanos);
+        applyClientEffects(asked.effects(), nowNanos);
         return asked.ask();
     }
 
-    /** The caller has gone: its ask is withdrawn, or what it was granted meanwhile goes back. */
+    /** Withdraws the request of a caller that has disconnected, or releases the grant if it was granted in the meantime. */
     void cancel(long ask, long nowNanos) {
-        callers.forget(ask);
-        client(client.withdraw(ask, nowNanos), nowNanos);
-        client(client.release(ask, new byte[0], nowNanos), nowNanos);
+        callers.remove(ask);
+        applyClientEffects(client.withdraw(ask, nowNanos), nowNanos);
+        applyClientEffects(client.release(ask, new byte[0], nowNanos), nowNanos);
     }
 
     boolean mayUse(long ask, long nowNanos) {
         GrantCheck check = client.tryUse(ask, nowNanos);
         if (check instanceof GrantCheck.LeaseExpired expired) {
-            client(expired.effects(), nowNanos);
+            applyClientEffects(expired.effects(), nowNanos);
         } else if (check instanceof GrantCheck.DeadlinePassed passed) {
-            client(passed.effects(), nowNanos);
+            applyClientEffects(passed.effects(), nowNanos);
         }
         return check instanceof GrantCheck.Usable;
     }
 
     void progress(long ask, int outputTokens, long nowNanos) {
-        client(client.progress(ask, outputTokens, nowNanos), nowNanos);
+        applyClientEffects(client.progress(ask, outputTokens, nowNanos), nowNanos);
     }
 
     void release(long ask, Completion completion, long nowNanos) {
-        callers.forget(ask);
-        client(client.release(ask, TermsCodec.encode(completion), nowNanos), nowNanos);
+        callers.remove(ask);
+        applyClientEffects(client.release(ask, TermsCodec.encode(completion), nowNanos), nowNanos);
     }
 
-    void received(String from, GrantMessage message, long nowNanos) {
-        if (message instanceof GrantMessage.ToClient toAsker) {
-            client(client.onMessage(from, toAsker, nowNanos), nowNanos);
+    void onMessage(String from, GrantMessage message, long nowNanos) {
+        if (message instanceof GrantMessage.ToClient toClient) {
+            applyClientEffects(client.onMessage(from, toClient, nowNanos), nowNanos);
         } else if (message instanceof GrantMessage.ToOwner toOwner) {
-            if (owned == null) {
+            if (ownedCell == null) {
                 wire.send(from, CellOwner.notOwner(toOwner, ownerName));
             } else {
-                owner(owned.onMessage(from, toOwner, nowNanos), nowNanos);
+                applyOwnerEffects(ownedCell.onMessage(from, toOwner, nowNanos), nowNanos);
             }
         }
     }
 
     void advance(long nowNanos) {
-        client(client.advance(nowNanos), nowNanos);
-        if (owned != null) {
-            owner(owned.advance(nowNanos), nowNanos);
+        applyClientEffects(client.advance(nowNanos), nowNanos);
+        if (ownedCell != null) {
+            applyOwnerEffects(ownedCell.advance(nowNanos), nowNanos);
         }
     }
 
-    private void owner(List<OwnerEffect> effects, long nowNanos) {
+    private void applyOwnerEffects(List<OwnerEffect> effects, long nowNanos) {
         for (OwnerEffect effect : effects) {
             if (effect instanceof OwnerEffect.Send send) {
                 wire.send(send.to(), send.message());
@@ -206,37 +210,37 @@
         }
     }
 
-    private void client(List<ClientEffect> effects, long nowNanos) {
+    private void applyClientEffects(List<ClientEffect> effects, long nowNanos) {
         for (ClientEffect effect : effects) {
             if (effect instanceof ClientEffect.Send send) {
                 wire.send(send.to(), send.message());
             } else if (effect instanceof ClientEffect.Granted granted) {
-                granted(granted, nowNanos);
+                handleGranted(granted, nowNanos);
             } else if (effect instanceof ClientEffect.Refused refused) {
-                callers.refused(refused.ask(), refusal(refused));
+                callers.refuse(refused.ask(), toRefusal(refused));
             } else if (effect instanceof ClientEffect.DeadlinePassed passed) {
-                callers.refused(passed.ask(), new GrantResult.Refused(RefusalReason.TOO_LATE, 0));
+                callers.refuse(passed.ask(), new GrantResult.Refused(RefusalReason.TOO_LATE, 0));
             } else if (effect instanceof ClientEffect.Preempted preempted) {
-                callers.preempted(preempted.ask());
+                callers.preempt(preempted.ask());
             } else if (effect instanceof ClientEffect.LocalMode local) {
                 String cause = local.local() ? "no owner answers" : "the owner answers";
-                audit.add(AuditEvent.Kind.OWNERSHIP, key, cause, mode(!local.local()), mode(local.local()));
+                audit.add(AuditEvent.Kind.OWNERSHIP, key, cause, modeName(!local.local()), modeName(local.local()));
             }
         }
     }
 
-    private void granted(ClientEffect.Granted granted, long nowNanos) {
+    private void handleGranted(ClientEffect.Granted granted, long nowNanos) {
         Optional<Worker> worker = published.worker(granted.worker());
         if (worker.isPresent()) {
-            callers.granted(granted.ask(), worker.get());
+            callers.grant(granted.ask(), worker.get());
             return;
         }
-        // The owner's configuration is a number ahead or behind, and names a worker whose address isn't known here.
-        client(client.release(granted.ask(), new byte[0], nowNanos), nowNanos);
-        callers.refused(granted.ask(), new GrantResult.Refused(RefusalReason.NO_WORKER, UNKNOWN_WORKER_RETRY_NANOS));
+        // The owner uses another configuration number and granted a worker that is not in the local configuration.
+        applyClientEffects(client.release(granted.ask(), new byte[0], nowNanos), nowNanos);
+        callers.refuse(granted.ask(), new GrantResult.Refused(RefusalReason.NO_WORKER, UNKNOWN_WORKER_RETRY_NANOS));
     }
 
-    private static GrantResult.Refused refusal(ClientEffect.Refused refused) {
+    private static GrantResult.Refused toRefusal(ClientEffect.Refused refused) {
         for (RefusalReason reason : RefusalReason.values()) {
             if (reason.name().equals(refused.reason())) {
                 return new GrantResult.Refused(reason, refused.retryAfterNanos());
@@ -245,7 +249,7 @@
         return new GrantResult.Refused(RefusalReason.CELL_FULL, refused.retryAfterNanos());
     }
 
-    private static String mode(boolean local) {
+    private static String modeName(boolean local) {
         return local ? "local mode" : "owned";
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellStatus.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellStatus.java
@@ -1,14 +1,14 @@
 package org.dotterelcourse.daemon.cells;
 
 /**
- * A cell as this daemon sees it, for operators.
+ * Status of a cell as seen by this daemon, shown to operators.
  *
- * @param cell its name
- * @param owner the owner's name, empty if nobody is alive
- * @param localMode whether this daemon's requests are granted by itself for want of an owner
- * @param asks this daemon's own asks and grants
- * @param waiting requests of the whole fleet that wait; 0 unless this daemon owns the cell
- * @param held asks and grants of the whole fleet; 0 unless this daemon owns the cell
- * @param workers its workers
+ * @param cell the cell key
+ * @param owner the name of the owner, empty if no daemon is alive
+ * @param localMode whether this daemon grants its own requests locally because it cannot reach an owner
+ * @param asks number of this daemon's own pending requests and grants
+ * @param waiting number of requests of all daemons waiting in the cell's queue; 0 unless this daemon owns the cell
+ * @param held number of pending requests and grants of all daemons; 0 unless this daemon owns the cell
+ * @param workers number of workers in the cell
  */
 public record CellStatus(String cell, String owner, boolean localMode, int asks, int waiting, int held, int workers) {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellWorkers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellWorkers.java
@@ -10,25 +10,28 @@
 import org.dotterelcourse.policy.cell.WorkerInfo;
 
 /**
- * A cell with what is published of its workers.
+ * A cell with the published data of its upstream and workers.
  *
  * @param cell the cell
- * @param upstream its upstream
- * @param workers its workers by name
- * @param infos its workers as the scheduler wants them
+ * @param upstream the upstream that the cell is part of
+ * @param workers the published workers of the cell by name
+ * @param infos the same workers in the form that the scheduler uses
  */
 public record CellWorkers(Cell cell, Upstream upstream, Map<String, Worker> workers, List<WorkerInfo> infos) {
     /**
-     * The cell's name.
+     * Returns the cell key.
      *
-     * @return the name
+     * @return the cell key, unique among all cells
      */
     public String key() {
         return cell.id().key();
     }
 
-    /** The same cell after its upstream has left the configuration: nothing new goes to its workers. */
-    CellWorkers emptied() {
+    /**
+     * Returns this cell without schedulable workers. Used after its upstream was removed from the configuration, so that
+     * no new requests are granted.
+     */
+    CellWorkers withoutWorkers() {
         return new CellWorkers(cell, upstream, workers, List.of());
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/GrantWire.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/GrantWire.java
@@ -2,7 +2,7 @@
 
 import org.dotterelcourse.coordination.grant.GrantMessage;
 
-/** Carries messages of the grant protocol to other daemons, and to this one. */
+/** Sends messages of the grant protocol to other daemons or to this daemon itself. */
 interface GrantWire {
     void send(String member, GrantMessage message);
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LoadPoller.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LoadPoller.java
@@ -17,14 +17,14 @@
 import org.dotterelcourse.policy.cell.WorkerReport;
 
 /**
- * Asks the engines of this daemon's own cells for their load. Only an owner needs it: its grants tell what it sent, the
- * reports tell what else the engines do.
+ * Periodically polls the load of the engines in the cells that this daemon owns. Only the owner needs the reports: it
+ * knows the load from its own grants, and the reports add the load from other sources.
  */
 public final class LoadPoller implements Service {
-    /** The name that it is found by. */
+    /** The service name under which the kernel registers the poller. */
     public static final ServiceName<LoadPoller> NAME = new ServiceName<>("load-poller", LoadPoller.class);
 
-    /** About the lag of the reports themselves; asking more often gets the same answer again. */
+    /** Matches the approximate lag of the load reports; polling more often returns the same report again. */
     private static final Duration PERIOD = Duration.ofMillis(500);
 
     private final LoadReports reports;
@@ -33,9 +33,9 @@
     private StateListener listener = (cell, state) -> {};
 
     /**
-     * Makes a poller.
+     * Creates a poller.
      *
-     * @param reports reads reports
+     * @param reports reads the load reports of engines
      */
     public LoadPoller(LoadReports reports) {
         this.reports = reports;
@@ -61,26 +61,26 @@
 
     @Override
     public void stop() {
-        // The control loop ends the polling.
+        // Polling ends with the control loop.
     }
 
     /**
-     * Calls back on the control loop with each state that an engine of an own cell reports.
+     * Sets the listener for the engine states reported in cells that this daemon owns. It is called on the control loop.
      *
-     * @param next must not block; there is one listener
+     * @param newListener receives the states and must not block; replaces the previous listener
      */
-    public void onState(StateListener next) {
-        listener = next;
+    public void onState(StateListener newListener) {
+        listener = newListener;
     }
 
-    /** Hears of engines' states. */
+    /** Receives the reported states of engines. */
     @FunctionalInterface
     public interface StateListener {
         /**
-         * An engine has reported.
+         * Called when an engine has reported its state.
          *
-         * @param cell its cell
-         * @param state what it says
+         * @param cell the key of the cell that the engine belongs to
+         * @param state the reported state
          */
         void reported(String cell, EngineState state);
     }
@@ -94,19 +94,19 @@
     }
 
     private void poll(String cell, Worker worker) {
-        reports.read(worker.address()).subscribe(report -> loop.execute(() -> reported(cell, worker, report)));
+        reports.read(worker.address()).subscribe(report -> loop.execute(() -> handleReport(cell, worker, report)));
     }
 
-    private void reported(String cell, Worker worker, LoadReport report) {
-        WorkerReport load = onOurClock(worker, report);
+    private void handleReport(String cell, Worker worker, LoadReport report) {
+        WorkerReport load = toLocalClock(worker, report);
         grants.report(cell, load);
         listener.reported(
                 cell,
                 new EngineState(worker.name(), report.fence(), report.loaded(), report.role(), load.measuredNanos()));
     }
 
-    /** The engine's clock may be off by any amount; an age that can't be true is taken for none. */
-    private WorkerReport onOurClock(Worker worker, LoadReport report) {
+    /** Converts the report time to the local monotonic clock. A negative age, caused by clock skew, counts as zero. */
+    private WorkerReport toLocalClock(Worker worker, LoadReport report) {
         long ageMillis = Math.max(0, System.currentTimeMillis() - report.reportedAtMillis());
         long measuredNanos = loop.nowNanos() - TimeUnit.MILLISECONDS.toNanos(ageMillis);
         return new WorkerReport(worker.name(), measuredNanos, report.running(), report.waiting());
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LocalShare.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LocalShare.java
@@ -7,23 +7,24 @@
 import org.dotterelcourse.policy.cell.WorkerInfo;
 
 /**
- * The part of a cell's capacity that one daemon may use while it can reach no owner.
+ * Computes the share of a cell's capacity that one daemon may use while it cannot reach an owner.
  *
- * <p>The failure it answers: a partition leaves many daemons without an owner at once. If each used the whole cell, its
- * engines would get the fleet's size times what they can run; if none used any, callers would be refused by a daemon
- * whose engines stand idle. So the shares of all daemons add up to the capacity, about: each worker's slots are dealt
- * out, and the slots that don't divide go to the daemons with the highest rendezvous weight for that worker.
+ * <p>A network partition can leave many daemons without an owner at once. If each used the whole cell, its engines would
+ * be overloaded by a factor of the number of daemons; if none used it, callers would be refused while engines are idle.
+ * Each worker's slots are therefore divided evenly among the daemons, and the remainder goes to the daemons with the
+ * highest rendezvous weight for that worker. The shares of all daemons add up to about the capacity, because their
+ * membership views may differ.
  */
 final class LocalShare {
     private LocalShare() {}
 
     /**
-     * Works out the share.
+     * Computes the share of one daemon.
      *
      * @param workers the cell's workers
-     * @param self this daemon's name
-     * @param daemons the names of the daemons that were last known alive, this one included
-     * @return the workers that this daemon may use, with its part of their concurrency
+     * @param self the name of this daemon
+     * @param daemons the names of the daemons that were last seen alive, including this one
+     * @return the workers that this daemon may use, with its share of their concurrency
      */
     static List<WorkerInfo> of(List<WorkerInfo> workers, String self, List<String> daemons) {
         List<WorkerInfo> share = new ArrayList<>();
@@ -37,9 +38,9 @@
     }
 
     private static int slots(WorkerInfo worker, String self, List<String> daemons) {
-        int each = worker.concurrency() / daemons.size();
-        int left = worker.concurrency() % daemons.size();
+        int base = worker.concurrency() / daemons.size();
+        int remainder = worker.concurrency() % daemons.size();
         int rank = Rendezvous.order(worker.name(), daemons).indexOf(self);
-        return each + (rank < left ? 1 : 0);
+        return base + (rank < remainder ? 1 : 0);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
@@ -40,26 +40,27 @@
 import reactor.core.publisher.MonoSink;
 
 /**
- * Grants from the owners of the cells, of which this daemon is one: it asks for its own callers, and holds the queues of
- * the cells that are its own.
+ * Obtains grants from the owners of the cells. For its own callers this daemon acts as a client of the grant protocol; for
+ * the cells that it owns, it also schedules the requests of all daemons. Ownership follows from the membership by
+ * rendezvous hashing.
  */
 public final class OwnedGrants implements GrantSource, Service {
-    /** The name that it is found by. */
+    /** The service name under which the kernel registers the grant source. */
     public static final ServiceName<OwnedGrants> NAME = new ServiceName<>("grants", OwnedGrants.class);
 
-    /** The channel of the grant protocol. */
+    /** The peer channel for messages of the grant protocol. */
     static final String CHANNEL = "grants";
 
-    /** A grant that becomes possible by the passing of time waits for the next tick; half of this is added at most. */
+    /** Grants that depend on elapsed time are issued at the next tick, which delays them by half a tick on average. */
     private static final Duration TICK = Duration.ofMillis(20);
 
-    /** Owners also change without news, when a suspect's grace runs out. */
+    /** Owners also change without a membership update, when the grace period of a suspected member ends. */
     private static final Duration OWNERS_PERIOD = Duration.ofMillis(250);
 
     private final SchedulerFactory schedulers;
     private final Map<String, CellRuntime> cells = new TreeMap<>();
     private final Map<String, List<CellRuntime>> byUpstream = new HashMap<>();
-    private final Set<String> gone = new HashSet<>();
+    private final Set<String> deadMembers = new HashSet<>();
     private final RandomGenerator random = RandomGenerator.getDefault();
     private volatile List<CellStatus> status = List.of();
     private ControlLoop loop;
@@ -70,9 +71,9 @@
     private List<Member> members = List.of();
 
     /**
-     * Makes a source without cells.
+     * Creates a grant source without cells.
      *
-     * @param schedulers makes the scheduler of each cell
+     * @param schedulers creates the scheduler of each cell
      */
     public OwnedGrants(SchedulerFactory schedulers) {
         this.schedulers = schedulers;
@@ -101,23 +102,23 @@
                 random,
                 this::send,
                 kernel.find(AuditTrail.NAME));
-        peers.registerListener(CHANNEL, this::received);
-        peers.onView(this::view);
+        peers.registerListener(CHANNEL, this::onMessage);
+        peers.onView(this::onMembershipChanged);
         store.onChange(configuration -> loop.execute(this::refresh));
         vms.onChange(list -> loop.execute(this::refresh));
         loop.schedulePeriodically(TICK, this::tick);
-        loop.schedulePeriodically(OWNERS_PERIOD, this::owners);
+        loop.schedulePeriodically(OWNERS_PERIOD, this::updateOwners);
         return List.of();
     }
 
     @Override
     public void stop() {
-        // The control loop ends the ticks; a lease that is still out ends at its owner.
+        // The ticks end with the control loop; leases still held expire at their owner.
     }
 
     @Override
-    public Mono<GrantResult> ask(String upstream, CellRequest ask) {
-        return Mono.create(sink -> loop.execute(() -> offer(upstream, ask, sink)));
+    public Mono<GrantResult> ask(String upstream, CellRequest request) {
+        return Mono.create(sink -> loop.execute(() -> submit(upstream, request, sink)));
     }
 
     @Override
@@ -139,18 +140,18 @@
     }
 
     /**
-     * The cells as this daemon sees them, not older than a second.
+     * Returns the status of the cells as seen by this daemon, at most one second old.
      *
-     * @return sorted by name
+     * @return the statuses, sorted by cell key
      */
     public List<CellStatus> status() {
         return status;
     }
 
     /**
-     * The cells that this daemon owns. For the control loop.
+     * Returns the cells that this daemon owns. Must be called on the control loop.
      *
-     * @return them, with their workers
+     * @return the owned cells with their workers
      */
     public List<CellWorkers> ownedCells() {
         return cells.values().stream()
@@ -160,61 +161,68 @@
     }
 
     /**
-     * Into how many cells an upstream is cut. For the control loop.
+     * Returns the number of cells of an upstream. Must be called on the control loop.
      *
-     * @param upstream its name
-     * @return the number
+     * @param upstream the name of the upstream
+     * @return the number of cells; 0 if the upstream is not configured
      */
     public int cellsOf(String upstream) {
         return byUpstream.getOrDefault(upstream, List.of()).size();
     }
 
     /**
-     * The newest grant of an own cell, as a mark for {@link #hasGrantUpTo}. For the control loop.
+     * Returns the number of the latest grant of a cell, for use with {@link #hasGrantUpTo}. Must be called on the control
+     * loop.
      *
-     * @param cell the cell
-     * @return its number
+     * @param cell the cell key
+     * @return the grant number; 0 if this daemon does not own the cell
      */
     public long lastGrant(String cell) {
         return cells.get(cell).lastGrant();
     }
 
     /**
-     * Whether a worker of an own cell still runs something that was granted no later than a mark. For the control loop.
+     * Returns whether a worker still has an active grant with a number up to the given one. Must be called on the control
+     * loop.
      *
-     * @param cell the cell
-     * @param worker the worker's name
-     * @param mark what {@link #lastGrant} said
-     * @return true if so
+     * @param cell the cell key
+     * @param worker the name of the worker
+     * @param grantNumber the highest grant number to consider, as returned by {@link #lastGrant}
+     * @return true if this daemon owns the cell and the worker has such a grant
      */
-    public boolean hasGrantUpTo(String cell, String worker, long mark) {
-        return cells.get(cell).hasGrantUpTo(worker, mark);
+    public boolean hasGrantUpTo(String cell, String worker, long grantNumber) {
+        return cells.get(cell).hasGrantUpTo(worker, grantNumber);
     }
 
-    /** Takes a worker's load report. For the control loop. */
+    /** Records the load report of a worker. Must be called on the control loop. */
     void report(String cell, WorkerReport report) {
-        cells.get(cell).report(report, loop.nowNanos());
+        cells.get(cell).recordLoadReport(report, loop.nowNanos());
     }
 
-    private void offer(String upstream, CellRequest ask, MonoSink<GrantResult> sink) {
+    private void submit(String upstream, CellRequest request, MonoSink<GrantResult> sink) {
         List<CellRuntime> candidates = byUpstream.getOrDefault(upstream, List.of());
         if (candidates.isEmpty()) {
             sink.success(new GrantResult.Refused(RefusalReason.NO_WORKER, 0));
             return;
         }
         CellRuntime cell = choose(candidates);
-        // Number and hook are tied together on the loop: a caller that goes away while its grant is on the way would
-        // else leave the grant without a holder, and a place at the worker empty for as long as the lease is renewed.
-        AtomicLong number = new AtomicLong();
-        sink.onCancel(() -> loop.execute(() -> cell.cancel(number.get(), loop.nowNanos())));
-        number.set(cell.ask(ask, sink, loop.nowNanos()));
+        // The cancel handler and the request number are set in the same control loop task. Otherwise a caller that
+        // disconnects while its grant is in flight leaves the grant unused, and a worker slot stays empty for as long
+        // as
+        // the lease is renewed.
+        AtomicLong askNumber = new AtomicLong();
+        sink.onCancel(() -> loop.execute(() -> cell.cancel(askNumber.get(), loop.nowNanos())));
+        askNumber.set(cell.ask(request, sink, loop.nowNanos()));
     }
 
-    /** The better of two random cells by what this daemon has out there: one that it can't get through to is left. */
+    /**
+     * Picks the cell with fewer outstanding requests of this daemon (power of two choices). Requests accumulate at a cell
+     * whose owner is unreachable, so such a cell is avoided.
+     */
     private CellRuntime choose(List<CellRuntime> candidates) {
-        CellRuntime one = candidates.get(random.nextInt(candidates.size()));
-        CellRuntime two = candidates.get(random.nextInt(candidates.size()));
-        return one.outstanding() <= two.outstanding() ? one : two;
+        CellRuntime first = candidates.get(random.nextInt(candidates.size()));
+        CellRuntime second = candidates.get(random.nextInt(candidates.size()));
+        return first.outstanding() <= second.outstanding() ? first : second;
     }
 
     private void send(String member, GrantMessage message) {
@@ -225,7 +233,7 @@
         }
     }
 
-    private void received(String from, byte[] body) {
+    private void onMessage(String from, byte[] body) {
         if (GrantCodec.decode(body) instanceof GrantCodec.Decoded.Message decoded) {
             dispatch(from, decoded.message());
         }
@@ -234,41 +242,41 @@
     private void dispatch(String from, GrantMessage message) {
         CellRuntime cell = cells.get(message.cell());
         if (cell != null) {
-            cell.received(from, message, loop.nowNanos());
+            cell.onMessage(from, message, loop.nowNanos());
         }
     }
 
-    private void view(List<Member> next) {
-        members = next;
-        for (Member member : next) {
+    private void onMembershipChanged(List<Member> newMembers) {
+        members = newMembers;
+        for (Member member : newMembers) {
             boolean dead = member.state() == MemberState.DEAD;
-            if (dead && gone.add(member.name())) {
-                cells.values().forEach(cell -> cell.askerGone(member.name(), loop.nowNanos()));
+            if (dead && deadMembers.add(member.name())) {
+                cells.values().forEach(cell -> cell.onClientDead(member.name(), loop.nowNanos()));
             } else if (!dead) {
-                gone.remove(member.name());
+                deadMembers.remove(member.name());
             }
         }
-        owners();
+        updateOwners();
     }
 
     private void tick() {
         cells.values().forEach(cell -> cell.advance(loop.nowNanos()));
     }
 
-    private void owners() {
+    private void updateOwners() {
         Ownership ownership = new Ownership(members, Peers.SUSPECT_GRACE_NANOS, loop.nowNanos());
-        Set<String> askers = askers();
+        Set<String> clientNames = clientNames();
         for (CellRuntime cell : cells.values()) {
             String owner = ownership
                     .owner(cell.published().cell().id())
                     .map(Member::name)
                     .orElse("");
-            cell.ownerIs(owner, askers, loop.nowNanos());
+            cell.updateOwner(owner, clientNames, loop.nowNanos());
         }
         status = cells.values().stream().map(CellRuntime::status).toList();
     }
 
-    private Set<String> askers() {
+    private Set<String> clientNames() {
         Set<String> names = new HashSet<>(Set.of(peers.self()));
         for (Member member : members) {
             if (member.state() != MemberState.DEAD) {
@@ -282,26 +290,26 @@
         store.inForce().ifPresent(this::refresh);
     }
 
-    /** A cell that has left the configuration stays, without workers, for the grants that are still out. */
+    /** Updates the cells. A cell removed from the configuration is kept without workers until its grants have ended. */
     private void refresh(Configuration configuration) {
         Set<String> leaving = new HashSet<>();
         vms.vms().stream().filter(Vm::leaving).forEach(vm -> leaving.add(vm.name()));
         Map<String, CellWorkers> published = CellMap.of(configuration, leaving);
-        List<String> daemons = List.copyOf(askers());
+        List<String> daemons = List.copyOf(clientNames());
         byUpstream.clear();
         for (CellWorkers workers : published.values()) {
             CellRuntime cell =
                     cells.computeIfAbsent(workers.key(), key -> new CellRuntime(workers, peers.incarnation(), context));
-            cell.workers(workers, daemons, loop.nowNanos());
+            cell.updateWorkers(workers, daemons, loop.nowNanos());
             byUpstream
                     .computeIfAbsent(workers.upstream().name(), name -> new ArrayList<>())
                     .add(cell);
         }
         for (CellRuntime cell : cells.values()) {
             if (!published.containsKey(cell.published().key())) {
-                cell.workers(cell.published().emptied(), daemons, loop.nowNanos());
+                cell.updateWorkers(cell.published().withoutWorkers(), daemons, loop.nowNanos());
             }
         }
-        owners();
+        updateOwners();
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/TermsCodec.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/TermsCodec.java
@@ -10,18 +10,19 @@
 import org.dotterelcourse.policy.cell.Completion;
 
 /**
- * Writes what the grant protocol carries without looking at it: an ask's terms and a grant's observation.
+ * Encodes and decodes the payloads that are opaque to the grant protocol: the terms of a request and the observation of a
+ * finished grant.
  *
- * <p>The class's terms travel with each ask, so that an owner whose configuration is a number behind decides by the terms
- * that the request came under.
+ * <p>Each request carries the terms of its class, so that an owner with an older configuration still applies the
+ * terms under which the request arrived.
  */
 final class TermsCodec {
     private static final Completion UNUSED = new Completion(Completion.End.CANCELLED, -1, 0, 0);
 
     private TermsCodec() {}
 
-    static byte[] encode(CellRequest ask) {
-        ClassTerms terms = ask.terms();
+    static byte[] encode(CellRequest request) {
+        ClassTerms terms = request.terms();
         return AskTerms.newBuilder()
                 .setRequestClass(terms.name())
                 .setTier(terms.tier())
@@ -31,49 +32,49 @@
                 .setTargetNanos(terms.targetNanos())
                 .setTokenIntervalNanos(terms.tokenIntervalNanos())
                 .setMaxOutputTokens(terms.maxOutputTokens())
-                .setCustomer(ask.customer())
-                .setInputTokens(ask.inputTokens())
-                .setPrefix(ask.prefix())
-                .setIdempotent(ask.idempotent())
-                .setResumedTokens(ask.resumedTokens())
-                .addAllExcludedWorkers(ask.excludedWorkers())
+                .setCustomer(request.customer())
+                .setInputTokens(request.inputTokens())
+                .setPrefix(request.prefix())
+                .setIdempotent(request.idempotent())
+                .setResumedTokens(request.resumedTokens())
+                .addAllExcludedWorkers(request.excludedWorkers())
                 .build()
                 .toByteArray();
     }
 
     /**
-     * Reads an ask.
+     * Decodes a request.
      *
-     * @param askId its id
-     * @param arrivalNanos when it arrived, on this process's clock
-     * @param bytes what {@link #encode(CellRequest)} wrote
-     * @return the ask
-     * @throws IllegalArgumentException if the bytes are something else
+     * @param askId the request id
+     * @param arrivalNanos arrival time on this process's monotonic clock in nanoseconds
+     * @param bytes terms encoded by {@link #encode(CellRequest)}
+     * @return the request
+     * @throws IllegalArgumentException if the bytes cannot be parsed
      */
     static CellRequest decode(String askId, long arrivalNanos, byte[] bytes) {
         try {
-            AskTerms read = AskTerms.parseFrom(bytes);
+            AskTerms message = AskTerms.parseFrom(bytes);
             ClassTerms terms = new ClassTerms(
-                    read.getRequestClass(),
-                    read.getTier(),
-                    read.getMinimumShare(),
-                    read.getMaxWaiting(),
-                    read.getLateIsUseless(),
-                    read.getTargetNanos(),
-                    read.getTokenIntervalNanos(),
-                    read.getMaxOutputTokens());
+                    message.getRequestClass(),
+                    message.getTier(),
+                    message.getMinimumShare(),
+                    message.getMaxWaiting(),
+                    message.getLateIsUseless(),
+                    message.getTargetNanos(),
+                    message.getTokenIntervalNanos(),
+                    message.getMaxOutputTokens());
             return new CellRequest(
                     askId,
                     terms,
-                    read.getCustomer(),
+                    message.getCustomer(),
                     arrivalNanos,
-                    read.getInputTokens(),
-                    read.getPrefix(),
-                    read.getIdempotent(),
-                    read.getResumedTokens(),
-                    Set.copyOf(read.getExcludedWorkersList()));
+                    message.getInputTokens(),
+                    message.getPrefix(),
+                    message.getIdempotent(),
+                    message.getResumedTokens(),
+                    Set.copyOf(message.getExcludedWorkersList()));
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalArgumentException("these are not an ask's terms", e);
+            throw new IllegalArgumentException("cannot parse the terms of a grant request", e);
         }
     }
 
@@ -87,16 +88,17 @@
                 .toByteArray();
     }
 
-    /** Reads an observation. An empty one means that the grant was never used; so does one that can't be read. */
+    /** Decodes an observation. An empty or malformed observation means that the grant was not used. */
     static Completion decodeObservation(byte[] bytes) {
         if (bytes.length == 0) {
             return UNUSED;
         }
         try {
-            GrantObservation read = GrantObservation.parseFrom(bytes);
+            GrantObservation message = GrantObservation.parseFrom(bytes);
             Completion.End[] ends = Completion.End.values();
-            Completion.End end = ends[Math.floorMod(read.getEnd(), ends.length)];
-            return new Completion(end, read.getFirstTokenNanos(), read.getDurationNanos(), read.getOutputTokens());
+            Completion.End end = ends[Math.floorMod(message.getEnd(), ends.length)];
+            return new Completion(
+                    end, message.getFirstTokenNanos(), message.getDurationNanos(), message.getOutputTokens());
         } catch (InvalidProtocolBufferException e) {
             return UNUSED;
         }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/WaitingCallers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/WaitingCallers.java
@@ -9,11 +9,11 @@
 import reactor.core.publisher.MonoSink;
 import reactor.core.publisher.Sinks;
 
-/** The requests of one cell that wait for their grant here, and those that hold one, by the number of their ask. */
+/** Callers of this daemon in one cell that wait for a grant or hold one, by request number. */
 final class WaitingCallers {
     private final String cell;
     private final Map<Long, MonoSink<GrantResult>> waiting = new HashMap<>();
-    private final Map<Long, Sinks.Empty<Void>> granted = new HashMap<>();
+    private final Map<Long, Sinks.Empty<Void>> preemptionSinks = new HashMap<>();
 
     WaitingCallers(String cell) {
         this.cell = cell;
@@ -23,29 +23,29 @@
         waiting.put(ask, sink);
     }
 
-    void granted(long ask, Worker worker) {
+    void grant(long ask, Worker worker) {
         MonoSink<GrantResult> sink = waiting.remove(ask);
         Sinks.Empty<Void> preempted = Sinks.empty();
-        granted.put(ask, preempted);
+        preemptionSinks.put(ask, preempted);
         sink.success(new GrantResult.Granted(new Grant(cell, ask, worker, preempted.asMono())));
     }
 
-    void refused(long ask, GrantResult.Refused refused) {
+    void refuse(long ask, GrantResult.Refused refused) {
         MonoSink<GrantResult> sink = waiting.remove(ask);
         if (sink != null) {
             sink.success(refused);
         }
     }
 
-    void preempted(long ask) {
-        Sinks.Empty<Void> preemption = granted.get(ask);
+    void preempt(long ask) {
+        Sinks.Empty<Void> preemption = preemptionSinks.get(ask);
         if (preemption != null) {
             preemption.tryEmitEmpty();
         }
     }
 
-    void forget(long ask) {
+    void remove(long ask) {
         waiting.remove(ask);
-        granted.remove(ask);
+        preemptionSinks.remove(ask);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/package-info.java
@@ -1,2 +1,2 @@
-/** Cells as this daemon takes part in them: their owners, its own asks and grants. */
+/** Cells: ownership, and the daemon's role as client and owner in the grant protocol. */
 package org.dotterelcourse.daemon.cells;
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/cells/LocalShareTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/cells/LocalShareTest.java
@@ -14,13 +14,12 @@
 
 class LocalShareTest {
     @Property(seed = "20261202", tries = 200)
-    void theSharesOfAllDaemonsAreTheCapacity(
+    void sharesOfAllDaemonsSumToTheCapacity(
             @ForAll @IntRange(min = 1, max = 40) int daemons,
             @ForAll @IntRange(min = 1, max = 13) int workers,
             @ForAll @IntRange(min = 1, max = 33) int concurrency) {
-        // A partition leaves every daemon without an owner. If their shares were more than the cell can run, its
-        // engines
-        // would be given more than they answer in time; if less, callers would be refused beside idle engines.
+        // Under a partition every daemon may be without an owner. If the shares exceed the capacity of the cell, its
+        // engines are overloaded and answer late; if they fall short, callers are refused while engines are idle.
         List<String> names = new ArrayList<>();
         for (int i = 0; i < daemons; i++) {
             names.add("entry-" + i);
@@ -29,13 +28,13 @@
         for (int i = 0; i < workers; i++) {
             infos.add(new WorkerInfo("llm-" + i, "ruwi-hall", concurrency, false));
         }
-        Map<String, Integer> dealt = new HashMap<>();
+        Map<String, Integer> slotsByWorker = new HashMap<>();
         for (String name : names) {
             LocalShare.of(infos, name, names)
-                    .forEach(worker -> dealt.merge(worker.name(), worker.concurrency(), Integer::sum));
+                    .forEach(worker -> slotsByWorker.merge(worker.name(), worker.concurrency(), Integer::sum));
         }
 
-        assertThat(dealt)
+        assertThat(slotsByWorker)
                 .hasSize(workers)
                 .allSatisfy((worker, slots) -> assertThat(slots).isEqualTo(concurrency));
     }
