--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellContext.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellContext.java
@@ -13,7 +13,7 @@
  * @param settings timeouts and limits of the grant protocol
  * @param schedulers creates the scheduler of each cell
  * @param random source of randomness for the grant terms and retry times
- * @param wire sends grant messages to cluster members
+ * @param transport sends grant messages to cluster members
  * @param audit records changes of ownership and mode
  */
 record CellContext(
@@ -21,5 +21,5 @@
         GrantSettings settings,
         SchedulerFactory schedulers,
         RandomGenerator random,
-        GrantWire wire,
+        GrantTransport transport,
         AuditTrail audit) {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/CellRuntime.java
@@ -38,7 +38,7 @@
     private final GrantSettings settings;
     private final SchedulerFactory schedulers;
     private final RandomGenerator random;
-    private final GrantWire wire;
+    private final GrantTransport transport;
     private final AuditTrail audit;
     private final SchedulerArbiter localArbiter;
     private final CellClient client;
@@ -54,7 +54,7 @@
         this.settings = context.settings();
         this.schedulers = context.schedulers();
         this.random = context.random();
-        this.wire = context.wire();
+        this.transport = context.transport();
         this.audit = context.audit();
         this.published = published;
         this.localArbiter = new SchedulerArbiter(schedulers.create(key));
@@ -185,7 +185,7 @@
             applyClientEffects(client.onMessage(from, toClient, nowNanos), nowNanos);
         } else if (message instanceof GrantMessage.ToOwner toOwner) {
             if (ownedCell == null) {
-                wire.send(from, CellOwner.notOwner(toOwner, ownerName));
+                transport.send(from, CellOwner.notOwner(toOwner, ownerName));
             } else {
                 applyOwnerEffects(ownedCell.onMessage(from, toOwner, nowNanos), nowNanos);
             }
@@ -202,7 +202,7 @@
     private void applyOwnerEffects(List<OwnerEffect> effects, long nowNanos) {
         for (OwnerEffect effect : effects) {
             if (effect instanceof OwnerEffect.Send send) {
-                wire.send(send.to(), send.message());
+                transport.send(send.to(), send.message());
             } else if (effect instanceof OwnerEffect.Settled settled) {
                 String cause = settled.adopted() + " grants adopted, " + settled.missing() + " daemons silent";
                 audit.add(AuditEvent.Kind.OWNERSHIP, key, cause, "settling", "granting");
@@ -213,7 +213,7 @@
     private void applyClientEffects(List<ClientEffect> effects, long nowNanos) {
         for (ClientEffect effect : effects) {
             if (effect instanceof ClientEffect.Send send) {
-                wire.send(send.to(), send.message());
+                transport.send(send.to(), send.message());
             } else if (effect instanceof ClientEffect.Granted granted) {
                 handleGranted(granted, nowNanos);
             } else if (effect instanceof ClientEffect.Refused refused) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LoadPoller.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LoadPoller.java
@@ -82,7 +82,7 @@
          * @param cell the key of the cell that the engine belongs to
          * @param state the reported state
          */
-        void reported(String cell, EngineState state);
+        void onReport(String cell, EngineState state);
     }
 
     private void poll() {
@@ -100,7 +100,7 @@
     private void handleReport(String cell, Worker worker, LoadReport report) {
         WorkerReport load = toLocalClock(worker, report);
         grants.report(cell, load);
-        listener.reported(
+        listener.onReport(
                 cell,
                 new EngineState(worker.name(), report.fence(), report.loaded(), report.role(), load.measuredNanos()));
     }
