--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Charge.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Charge.java
@@ -2,19 +2,20 @@
 
 import java.util.function.LongConsumer;
 
-/** Whether a request is within its customer's budget. */
+/** Result of charging a request to its customer's budget. */
 public sealed interface Charge {
     /**
-     * It is, and its estimate was charged.
+     * The request is within the budget and its estimated tokens were charged.
      *
-     * @param settle to be told once how many tokens it used, of prompt and answer; 0 if it did not run
+     * @param settle must be called once with the number of prompt and answer tokens actually used; 0 if the request did not
+     *     run
      */
     record Charged(LongConsumer settle) implements Charge {}
 
     /**
-     * It is not.
+     * The request exceeds the budget and was not charged.
      *
-     * @param retryAfterNanos when it is worth asking again, from now
+     * @param retryAfterNanos time until a retry may succeed, in nanoseconds; 0 if unknown
      */
     record OverBudget(long retryAfterNanos) implements Charge {}
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/Limits.java
@@ -35,43 +35,46 @@
 import reactor.core.publisher.MonoSink;
 
 /**
- * Charges requests to customers' budgets, and keeps the budgets of the customers whose home this daemon is. A customer is
- * only taken up when it calls, or when another daemon asks for a part of its budget: of 18,000 customers a daemon meets
- * a few hundred.
+ * Charges requests to customers' budgets (distributed token buckets), and manages the budgets of the customers that this
+ * daemon owns. A customer is registered only when it sends a request or when another daemon requests a part of its budget,
+ * because a daemon serves only a few hundred of 18,000 customers.
  */
 public final class Limits implements Service {
-    /** The name that it is found by. */
+    /** The service name under which the kernel registers the limits. */
     public static final ServiceName<Limits> NAME = new ServiceName<>("limits", Limits.class);
 
     private static final String CHANNEL = "limits";
     private static final Duration TICK = Duration.ofMillis(50);
 
-    /** A page of questions or a counter's rush comes within a few seconds; more than that is a rate, not a burst. */
+    /**
+     * Burst capacity in seconds of the budget's rate. A page of questions or a rush at a counter arrives within a
+     * few seconds; anything longer is a rate, not a burst.
+     */
     private static final int BURST_SECONDS = 4;
 
     /**
-     * A call that fits its budget this soon waits for it instead of being refused. A daemon that
-     * goes on alone because a home has died starts with nothing, and would else refuse for a few milliseconds.
+     * A call whose budget suffices within this time is held instead of refused. Without this, a daemon that enforces a
+     * budget alone after the budget's owner has died refuses calls for a few milliseconds, because it starts with none.
      */
-    private static final long LONGEST_HOLD_NANOS = 250_000_000L;
+    private static final long MAX_HOLD_NANOS = 250_000_000L;
 
-    private static final long NOT_HELD = Long.MIN_VALUE;
+    private static final long NO_DEADLINE = Long.MIN_VALUE;
 
-    /** Calls of one customer that may wait for its budget; a hot customer is refused, not collected. */
-    private static final int MAX_HELD = 64;
+    /** Maximum number of held calls of one customer, so that calls of a customer far over its budget don't accumulate. */
+    private static final int MAX_HELD_CALLS = 64;
 
-    private final Map<String, Integer> held = new HashMap<>();
-    private final Map<String, Deque<Waiting>> waiting = new HashMap<>();
-    private final Set<String> met = new HashSet<>();
+    private final Map<String, Integer> heldCalls = new HashMap<>();
+    private final Map<String, Deque<PendingCall>> pendingCalls = new HashMap<>();
+    private final Set<String> registeredCustomers = new HashSet<>();
     private ControlLoop loop;
     private Peers peers;
     private String region;
     private LimitClient client;
-    private LimitHome home;
+    private LimitHome ownedBudgets;
     private Ownership ownership;
     private Configuration configuration;
 
-    private record Waiting(String customer, long tokens, long untilNanos, MonoSink<Charge> sink) {}
+    private record PendingCall(String customer, long tokens, long deadlineNanos, MonoSink<Charge> sink) {}
 
     @Override
     public ServiceName<Limits> name() {
@@ -89,66 +92,70 @@
         peers = kernel.find(Peers.NAME);
         region = peers.region();
         LimitSettings settings = LimitSettings.defaults().withOpening(1);
-        client = new LimitClient(peers.incarnation(), settings, this::homeOf);
-        home = new LimitHome(settings, loop.nowNanos());
+        client = new LimitClient(peers.incarnation(), settings, this::ownerOf);
+        ownedBudgets = new LimitHome(settings, loop.nowNanos());
         ownership = new Ownership(List.of(), 0, loop.nowNanos());
-        peers.registerListener(CHANNEL, this::received);
-        peers.onView(this::view);
-        kernel.find(ConfigurationStore.NAME).onChange(next -> loop.execute(() -> configured(next)));
-        loop.schedulePeriodically(TICK, () -> carryOut(client.advance(loop.nowNanos())));
+        peers.registerListener(CHANNEL, this::onMessage);
+        peers.onView(this::onMembershipChanged);
+        kernel.find(ConfigurationStore.NAME)
+                .onChange(newConfiguration -> loop.execute(() -> onConfigurationChanged(newConfiguration)));
+        loop.schedulePeriodically(TICK, () -> applyEffects(client.advance(loop.nowNanos())));
         return List.of();
     }
 
     @Override
     public void stop() {
-        // Slices that are still held run out with the budget's own rate.
+        // Budget slices still leased to this daemon expire at the budget's own rate.
     }
 
     /**
-     * Charges a request.
+     * Charges a request to its customer's budget.
      *
-     * @param customer its customer
-     * @param tokens the estimate of its prompt and answer
-     * @return one value, after a round trip to the customer's home at most
+     * @param customer the name of the customer
+     * @param tokens the estimated number of prompt and answer tokens
+     * @return the result, never an error; at the latest after a round trip to the owner of the customer's budget and, if the
+     *     budget is short, 250 ms of holding
      */
     public Mono<Charge> charge(String customer, long tokens) {
-        return Mono.create(sink ->
-                loop.execute(() -> take(new Waiting(customer, tokens, loop.nowNanos() + LONGEST_HOLD_NANOS, sink))));
+        return Mono.create(sink -> loop.execute(
+                () -> tryCharge(new PendingCall(customer, tokens, loop.nowNanos() + MAX_HOLD_NANOS, sink))));
     }
 
-    private void take(Waiting call) {
-        Taking taking = client.take(call.customer(), call.tokens(), loop.nowNanos());
-        if (taking instanceof Taking.UnknownCustomer && meet(call.customer())) {
-            taking = client.take(call.customer(), call.tokens(), loop.nowNanos());
+    private void tryCharge(PendingCall call) {
+        Taking result = client.take(call.customer(), call.tokens(), loop.nowNanos());
+        if (result instanceof Taking.UnknownCustomer && registerCustomer(call.customer())) {
+            result = client.take(call.customer(), call.tokens(), loop.nowNanos());
         }
-        if (taking instanceof Taking.Taken taken) {
+        if (result instanceof Taking.Taken taken) {
             call.sink().success(new Charge.Charged(used -> settle(call.customer(), taken.charged(), used)));
-            carryOut(taken.effects());
-        } else if (taking instanceof Taking.Waiting waits) {
-            waiting.computeIfAbsent(call.customer(), name -> new ArrayDeque<>()).add(call);
-            carryOut(waits.effects());
-        } else if (taking instanceof Taking.OverBudget over) {
+            applyEffects(taken.effects());
+        } else if (result instanceof Taking.Waiting pending) {
+            pendingCalls
+                    .computeIfAbsent(call.customer(), name -> new ArrayDeque<>())
+                    .add(call);
+            applyEffects(pending.effects());
+        } else if (result instanceof Taking.OverBudget over) {
             overBudget(call, over.retryAfterNanos());
         } else {
-            // The customer left the configuration between its request's arrival and now.
+            // The customer was removed from the configuration after the request arrived.
             call.sink().success(new Charge.OverBudget(0));
         }
     }
 
-    private void overBudget(Waiting call, long retryAfterNanos) {
-        // Counted from the first time that the budget is short, not from the arrival: a call whose home has just died
-        // has
-        // waited longer than that already, and its part of the budget begins to fill only now.
-        long untilNanos = call.untilNanos() == NOT_HELD ? loop.nowNanos() + LONGEST_HOLD_NANOS : call.untilNanos();
-        boolean soon = loop.nowNanos() + retryAfterNanos <= untilNanos;
-        if (!soon || held.getOrDefault(call.customer(), 0) >= MAX_HELD) {
+    private void overBudget(PendingCall call, long retryAfterNanos) {
+        // Without a deadline, the hold time starts now and not at the arrival: a call whose budget owner has just died
+        // has already waited longer than the hold time, and the local share of the budget starts to fill only now.
+        long deadlineNanos =
+                call.deadlineNanos() == NO_DEADLINE ? loop.nowNanos() + MAX_HOLD_NANOS : call.deadlineNanos();
+        boolean withinDeadline = loop.nowNanos() + retryAfterNanos <= deadlineNanos;
+        if (!withinDeadline || heldCalls.getOrDefault(call.customer(), 0) >= MAX_HELD_CALLS) {
             call.sink().success(new Charge.OverBudget(retryAfterNanos));
             return;
         }
-        held.merge(call.customer(), 1, Integer::sum);
+        heldCalls.merge(call.customer(), 1, Integer::sum);
         loop.scheduleOnce(retryAfterNanos, () -> {
-            held.computeIfPresent(call.customer(), (name, count) -> count == 1 ? null : count - 1);
-            take(new Waiting(call.customer(), call.tokens(), untilNanos, call.sink()));
+            heldCalls.computeIfPresent(call.customer(), (name, count) -> count == 1 ? null : count - 1);
+            tryCharge(new PendingCall(call.customer(), call.tokens(), deadlineNanos, call.sink()));
         });
     }
 
@@ -156,11 +163,11 @@
         loop.execute(() -> client.settle(customer, charged, used, loop.nowNanos()));
     }
 
-    private boolean meet(String customer) {
+    private boolean registerCustomer(String customer) {
         Optional<Budget> budget = budget(customer);
-        budget.ifPresent(known -> {
-            met.add(customer);
-            client.budget(customer, known, loop.nowNanos());
+        budget.ifPresent(found -> {
+            registeredCustomers.add(customer);
+            client.budget(customer, found, loop.nowNanos());
         });
         return budget.isPresent();
     }
@@ -177,7 +184,7 @@
         return new Budget(new Amount(requests, tokens), new Amount(BURST_SECONDS * requests, BURST_SECONDS * tokens));
     }
 
-    private void received(String from, byte[] body) {
+    private void onMessage(String from, byte[] body) {
         if (LimitCodec.decode(body) instanceof LimitCodec.Decoded.Message decoded) {
             dispatch(from, decoded.message());
         }
@@ -185,36 +192,39 @@
 
     private void dispatch(String from, LimitMessage message) {
         if (message instanceof LimitMessage.Slices slices) {
-            carryOut(client.on(slices, loop.nowNanos()));
+            applyEffects(client.on(slices, loop.nowNanos()));
         } else if (message instanceof LimitMessage.Wants wants) {
-            wants.wants().forEach(want -> holdIfOurs(want.customer()));
-            carryOut(home.on(from, wants, loop.nowNanos()));
+            wants.wants().forEach(want -> updateOwnership(want.customer()));
+            applyEffects(ownedBudgets.on(from, wants, loop.nowNanos()));
         }
     }
 
-    /** Two daemons may each take themselves for the home while their views differ; each leases the budget then. */
-    private void holdIfOurs(String customer) {
+    /**
+     * Updates whether this daemon owns a budget. While membership views differ, two daemons may both consider themselves
+     * the owner, and each leases the budget.
+     */
+    private void updateOwnership(String customer) {
         Optional<Budget> budget = budget(customer);
-        boolean ours = homeOf(customer).filter(peers.self()::equals).isPresent();
-        if (ours && budget.isPresent()) {
-            home.hold(customer, budget.get(), loop.nowNanos());
+        boolean isOwner = ownerOf(customer).filter(peers.self()::equals).isPresent();
+        if (isOwner && budget.isPresent()) {
+            ownedBudgets.hold(customer, budget.get(), loop.nowNanos());
         } else {
-            home.drop(customer);
+            ownedBudgets.drop(customer);
         }
     }
 
-    private Optional<String> homeOf(String customer) {
+    private Optional<String> ownerOf(String customer) {
         return ownership.customerOwner(customer, region).map(Member::name);
     }
 
-    private void carryOut(List<LimitEffect> effects) {
+    private void applyEffects(List<LimitEffect> effects) {
         for (LimitEffect effect : effects) {
             if (effect instanceof LimitEffect.Send send) {
                 send(send.to(), send.message());
             } else if (effect instanceof LimitEffect.Refilled refilled) {
-                Deque<Waiting> calls = waiting.remove(refilled.customer());
+                Deque<PendingCall> calls = pendingCalls.remove(refilled.customer());
                 if (calls != null) {
-                    calls.forEach(this::take);
+                    calls.forEach(this::tryCharge);
                 }
             }
         }
@@ -228,18 +238,18 @@
         }
     }
 
-    private void view(List<Member> members) {
+    private void onMembershipChanged(List<Member> members) {
         ownership = new Ownership(members, Peers.SUSPECT_GRACE_NANOS, loop.nowNanos());
         client.members((int) members.stream()
                 .filter(member -> member.state() == MemberState.ALIVE)
                 .count());
     }
 
-    private void configured(Configuration next) {
-        configuration = next;
-        met.removeIf(customer -> {
+    private void onConfigurationChanged(Configuration newConfiguration) {
+        configuration = newConfiguration;
+        registeredCustomers.removeIf(customer -> {
             Optional<Budget> budget = budget(customer);
-            budget.ifPresent(known -> client.budget(customer, known, loop.nowNanos()));
+            budget.ifPresent(found -> client.budget(customer, found, loop.nowNanos()));
             if (budget.isEmpty()) {
                 client.forget(customer);
             }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/limits/package-info.java
@@ -1,2 +1,2 @@
-/** Customers' budgets of requests and tokens. */
+/** Rate limits: customers' budgets of requests and tokens. */
 package org.dotterelcourse.daemon.limits;
