--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
@@ -166,7 +166,7 @@
      * @param upstream the name of the upstream
      * @return the number of cells; 0 if the upstream is not configured
      */
-    public int cellsOf(String upstream) {
+    public int cellCount(String upstream) {
         return byUpstream.getOrDefault(upstream, List.of()).size();
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/CellOrders.java
@@ -25,70 +25,75 @@
 import org.dotterelcourse.coordination.order.OrderSettings;
 import org.dotterelcourse.coordination.order.WorkerGoal;
 
-/** The orders of one cell: what its engines are to have, and what is under way. For the control loop only. */
+/**
+ * Plans the orders for the engines of one cell and tracks the workers that are being drained. Not thread-safe; used on the
+ * control loop only.
+ */
 final class CellOrders {
-    /** An engine holds the version that it serves and the one that is to follow it. */
-    private static final int SLOTS = 2;
+    /** An engine holds the version that it serves and the next one during a rollout. */
+    private static final int VERSIONS_PER_MODEL = 2;
 
-    /** A quarter of a cell may be without a model while it is rolled; the rest has to carry the load. */
-    private static final double SERVING_SHARE = 0.75;
+    /** Fraction of the workers that must serve a model during a rollout, because they have to carry the whole load. */
+    private static final double MIN_SERVING_FRACTION = 0.75;
 
     private static final long NANOS_PER_MINUTE = TimeUnit.MINUTES.toNanos(1);
-    private static final int MAX_LOADING = 4;
+    private static final int MAX_CONCURRENT_LOADS = 4;
 
     private final OrderIssuer issuer;
     private final Map<String, Draining> draining = new HashMap<>();
 
-    /** A version that is about to be unloaded, and the newest grant that may still use it. */
-    private record Draining(ModelVersion version, long mark) {}
+    /** A version that is about to be unloaded, and the number of the latest grant that may still use it. */
+    private record Draining(ModelVersion version, long lastGrant) {}
 
     CellOrders(Upstream upstream, int cells) {
-        OrderSettings usual = OrderSettings.defaults();
-        long interval = NANOS_PER_MINUTE * cells / Math.max(1, upstream.loadsPerMinute());
+        OrderSettings defaults = OrderSettings.defaults();
+        long loadIntervalNanos = NANOS_PER_MINUTE * cells / Math.max(1, upstream.loadsPerMinute());
         this.issuer = new OrderIssuer(new OrderSettings(
-                usual.freshNanos(),
-                usual.settleNanos(),
-                usual.staleReportNanos(),
-                usual.effectNanos(),
-                interval,
-                MAX_LOADING));
+                defaults.freshNanos(),
+                defaults.settleNanos(),
+                defaults.staleReportNanos(),
+                defaults.effectNanos(),
+                loadIntervalNanos,
+                MAX_CONCURRENT_LOADS));
     }
 
     OrderIssuer issuer() {
         return issuer;
     }
 
-    /** Every worker of the cell serves every model version that a class of its upstream names. */
-    void goal(Configuration configuration, Upstream upstream, Set<String> workers) {
+    /** Sets the goal: every worker of the cell serves every model version used by a request class of the upstream. */
+    void updateGoal(Configuration configuration, Upstream upstream, Set<String> workers) {
         SortedSet<ModelVersion> versions = new TreeSet<>();
         Map<String, Integer> minServing = new HashMap<>();
-        for (RequestClass each : configuration.classes()) {
-            if (each.upstream().equals(upstream.name()) && !each.model().isEmpty()) {
-                versions.add(new ModelVersion(each.model(), each.version()));
-                minServing.put(each.model(), (int) Math.ceil(SERVING_SHARE * workers.size()));
+        for (RequestClass requestClass : configuration.classes()) {
+            if (requestClass.upstream().equals(upstream.name())
+                    && !requestClass.model().isEmpty()) {
+                versions.add(new ModelVersion(requestClass.model(), requestClass.version()));
+                minServing.put(requestClass.model(), (int) Math.ceil(MIN_SERVING_FRACTION * workers.size()));
             }
         }
         SortedMap<String, WorkerGoal> goals = new TreeMap<>();
-        workers.forEach(worker -> goals.put(worker, new WorkerGoal("", versions, versions.size() + SLOTS - 1)));
-        boolean checked = upstream.fencing() == Upstream.Fencing.CHECKED;
-        issuer.goal(new CellGoal(configuration.number(), goals, minServing, checked));
+        workers.forEach(
+                worker -> goals.put(worker, new WorkerGoal("", versions, versions.size() + VERSIONS_PER_MODEL - 1)));
+        boolean checksFencing = upstream.fencing() == Upstream.Fencing.CHECKED;
+        issuer.goal(new CellGoal(configuration.number(), goals, minServing, checksFencing));
     }
 
-    void report(EngineState state) {
+    void recordState(EngineState state) {
         issuer.report(state);
     }
 
     /**
-     * Takes note of what is to be drained, and returns the orders that are to be written.
+     * Starts and cancels drains as planned by the issuer, and returns the orders to be written.
      *
-     * <p>New requests name the version in force, and an engine that is to lose a version has that one loaded already; so
-     * only what was granted until now can still use the old one.
+     * <p>New requests use the active version, which an engine has loaded before another version is unloaded from it.
+     * Therefore only requests granted up to now can still use the old version.
      *
-     * @param effects what the issuer wants
-     * @param lastGrant the newest grant of the cell
-     * @return the orders
+     * @param effects the effects returned by the issuer
+     * @param lastGrant the number of the latest grant of the cell
+     * @return the orders to be written to the engines
      */
-    List<Order> take(List<OrderEffect> effects, long lastGrant) {
+    List<Order> apply(List<OrderEffect> effects, long lastGrant) {
         List<Order> orders = new ArrayList<>();
         for (OrderEffect effect : effects) {
             if (effect instanceof OrderEffect.Drain drain) {
@@ -103,29 +108,30 @@
     }
 
     /**
-     * Tells the issuer which workers run nothing any more that may use the version they are to lose.
+     * Reports to the issuer the drained workers that no longer run a request that may use the version to be unloaded.
      *
-     * @param cell asked what runs
-     * @param nowNanos the time
-     * @return the orders that follow
+     * @param grants the active grants of the cell
+     * @param nowNanos current monotonic time in nanoseconds
+     * @return the resulting orders to be written to the engines
      */
-    List<Order> drained(RunningGrants cell, long nowNanos) {
+    List<Order> finishDrains(ActiveGrants grants, long nowNanos) {
         List<Order> orders = new ArrayList<>();
-        for (Map.Entry<String, Draining> each : Map.copyOf(draining).entrySet()) {
-            if (!cell.hasGrantUpTo(each.getKey(), each.getValue().mark())) {
-                draining.remove(each.getKey());
-                orders.addAll(take(issuer.drained(each.getKey(), each.getValue().version(), nowNanos), 0));
+        for (Map.Entry<String, Draining> drain : Map.copyOf(draining).entrySet()) {
+            if (!grants.hasGrantUpTo(drain.getKey(), drain.getValue().lastGrant())) {
+                draining.remove(drain.getKey());
+                orders.addAll(
+                        apply(issuer.drained(drain.getKey(), drain.getValue().version(), nowNanos), 0));
             }
         }
         return orders;
     }
 
-    /** Tells what runs in a cell. */
-    interface RunningGrants {
-        boolean hasGrantUpTo(String worker, long mark);
+    /** The active grants of a cell. */
+    interface ActiveGrants {
+        boolean hasGrantUpTo(String worker, long lastGrant);
     }
 
-    void answered(Order order, OrderAnswer answer, long nowNanos) {
+    void recordAnswer(Order order, OrderAnswer answer, long nowNanos) {
         issuer.answered(order, answer, nowNanos);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/EngineOrders.java
@@ -27,9 +27,9 @@
 import org.dotterelcourse.daemon.platform.ConfigurationStore;
 import org.dotterelcourse.daemon.upstream.EngineControl;
 
-/** Orders the engines of this daemon's own cells to have what the configuration in force says. */
+/** Orders the engines in the cells that this daemon owns to load the models of the active configuration. */
 public final class EngineOrders implements Service {
-    /** The name that it is found by. */
+    /** The service name under which the kernel registers the engine orders. */
     public static final ServiceName<EngineOrders> NAME = new ServiceName<>("engine-orders", EngineOrders.class);
 
     private static final Duration TICK = Duration.ofMillis(250);
@@ -44,9 +44,9 @@
     private NumberChecks checks;
 
     /**
-     * Makes a service that has ordered nothing.
+     * Creates the service.
      *
-     * @param control writes orders
+     * @param control writes orders to engines
      */
     public EngineOrders(EngineControl control) {
         this.control = control;
@@ -74,68 +74,68 @@
         grants = kernel.find(OwnedGrants.NAME);
         store = kernel.find(ConfigurationStore.NAME);
         audit = kernel.find(AuditTrail.NAME);
-        checks = new NumberChecks(kernel.find(Peers.NAME), store, loop, this::confirmed);
-        kernel.find(LoadPoller.NAME).onState(this::report);
-        loop.schedulePeriodically(CHECK_PERIOD, checks::ask);
+        checks = new NumberChecks(kernel.find(Peers.NAME), store, loop, this::onNumberConfirmed);
+        kernel.find(LoadPoller.NAME).onState(this::onEngineState);
+        loop.schedulePeriodically(CHECK_PERIOD, checks::sendChecks);
         loop.schedulePeriodically(TICK, this::tick);
         return List.of();
     }
 
     @Override
     public void stop() {
-        // The control loop ends the ticks; the next owner reads the engines' states.
+        // The ticks end with the control loop; the next owner reads the states of the engines.
     }
 
-    private void confirmed(long number, long askedNanos) {
-        cells.values().forEach(cell -> cell.issuer().confirmed(number, askedNanos));
+    private void onNumberConfirmed(long number, long sentNanos) {
+        cells.values().forEach(cell -> cell.issuer().confirmed(number, sentNanos));
     }
 
-    private void report(String cell, EngineState state) {
+    private void onEngineState(String cell, EngineState state) {
         CellOrders orders = cells.get(cell);
         if (orders != null) {
-            orders.report(state);
+            orders.recordState(state);
         }
     }
 
     private void tick() {
-        store.inForce().ifPresent(this::tick);
+        store.inForce().ifPresent(this::updateCells);
     }
 
-    private void tick(Configuration configuration) {
-        Set<String> owned = new HashSet<>();
+    private void updateCells(Configuration configuration) {
+        Set<String> ownedKeys = new HashSet<>();
         for (CellWorkers cell : grants.ownedCells()) {
             if (cell.upstream().kind() == Upstream.Kind.ENGINE
                     && cell.upstream().loadsPerMinute() > 0) {
-                owned.add(cell.key());
-                tick(configuration, cell);
+                ownedKeys.add(cell.key());
+                updateCell(configuration, cell);
             }
         }
         cells.forEach((key, cell) -> {
-            if (!owned.contains(key)) {
+            if (!ownedKeys.contains(key)) {
                 cell.issuer().owner(false, loop.nowNanos());
             }
         });
     }
 
-    private void tick(Configuration configuration, CellWorkers cell) {
+    private void updateCell(Configuration configuration, CellWorkers cell) {
         long nowNanos = loop.nowNanos();
         CellOrders orders = cells.computeIfAbsent(
                 cell.key(),
                 key -> new CellOrders(
-                        cell.upstream(), grants.cellsOf(cell.upstream().name())));
+                        cell.upstream(), grants.cellCount(cell.upstream().name())));
         orders.issuer().owner(true, nowNanos);
-        orders.goal(configuration, cell.upstream(), cell.workers().keySet());
+        orders.updateGoal(configuration, cell.upstream(), cell.workers().keySet());
         long lastGrant = grants.lastGrant(cell.key());
-        orders.take(orders.issuer().advance(nowNanos), lastGrant).forEach(order -> write(cell, orders, order));
-        orders.drained((worker, mark) -> grants.hasGrantUpTo(cell.key(), worker, mark), nowNanos)
-                .forEach(order -> write(cell, orders, order));
+        orders.apply(orders.issuer().advance(nowNanos), lastGrant).forEach(order -> writeOrder(cell, orders, order));
+        orders.finishDrains((worker, grantNumber) -> grants.hasGrantUpTo(cell.key(), worker, grantNumber), nowNanos)
+                .forEach(order -> writeOrder(cell, orders, order));
     }
 
-    private void write(CellWorkers cell, CellOrders orders, Order order) {
+    private void writeOrder(CellWorkers cell, CellOrders orders, Order order) {
         Worker worker = cell.workers().get(order.worker());
-        // Between planning and writing this process may have been paused, and the cell have got another owner.
+        // If this process was paused between planning and writing, the cell may have another owner by now.
         if (worker == null || !orders.issuer().mayWrite(order, loop.nowNanos())) {
-            orders.answered(order, new OrderAnswer.NotWritten(), loop.nowNanos());
+            orders.recordAnswer(order, new OrderAnswer.NotWritten(), loop.nowNanos());
             return;
         }
         audit.add(
@@ -146,6 +146,6 @@
                 "",
                 CellOrders.describe(order.action()));
         control.write(worker.address(), order)
-                .subscribe(answer -> loop.execute(() -> orders.answered(order, answer, loop.nowNanos())));
+                .subscribe(answer -> loop.execute(() -> orders.recordAnswer(order, answer, loop.nowNanos())));
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/NumberChecks.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/NumberChecks.java
@@ -15,63 +15,63 @@
 import org.jboss.logging.Logger;
 
 /**
- * Asks a few other daemons which number they have in force, and answers them. An owner orders engines only while somebody
- * has just confirmed that no higher number than its own is known.
+ * Queries a few other daemons for the number of their active configuration, and answers such queries. The owner of a cell
+ * issues orders to engines only after a recent confirmation that no daemon asked has a higher configuration number.
  */
 final class NumberChecks {
     private static final String CHANNEL = "numbers";
 
-    /** Two are asked, so that one that has just gone doesn't hold up a roll. */
-    private static final int ASKED = 2;
+    /** Two peers are queried, so that one peer that has just stopped doesn't delay a rollout. */
+    private static final int PEERS_PER_CHECK = 2;
 
     private static final Logger LOG = Logger.getLogger(NumberChecks.class);
 
     private final Peers peers;
     private final ConfigurationStore store;
     private final ControlLoop loop;
-    private final Confirmed confirmed;
+    private final ConfirmationListener listener;
     private final RandomGenerator random = RandomGenerator.getDefault();
 
-    /** Hears of confirmations. */
-    interface Confirmed {
-        void confirmed(long number, long askedNanos);
+    /** Receives the configuration numbers reported by peers. */
+    interface ConfirmationListener {
+        void onConfirmed(long number, long sentNanos);
     }
 
-    NumberChecks(Peers peers, ConfigurationStore store, ControlLoop loop, Confirmed confirmed) {
+    NumberChecks(Peers peers, ConfigurationStore store, ControlLoop loop, ConfirmationListener listener) {
         this.peers = peers;
         this.store = store;
         this.loop = loop;
-        this.confirmed = confirmed;
-        peers.registerListener(CHANNEL, this::received);
+        this.listener = listener;
+        peers.registerListener(CHANNEL, this::onMessage);
     }
 
-    /** Asks. A daemon that is alone in its fleet has nobody to contradict it. */
-    void ask() {
-        List<String> others = new ArrayList<>();
+    /** Queries random live peers. Without live peers, the daemon's own number counts as confirmed. */
+    void sendChecks() {
+        List<String> peerNames = new ArrayList<>();
         for (Member member : peers.view()) {
             if (member.state() == MemberState.ALIVE && !member.name().equals(peers.self())) {
-                others.add(member.name());
+                peerNames.add(member.name());
             }
         }
-        if (others.isEmpty()) {
-            confirmed.confirmed(number(), loop.nowNanos());
+        if (peerNames.isEmpty()) {
+            listener.onConfirmed(activeNumber(), loop.nowNanos());
             return;
         }
-        for (int i = 0; i < ASKED; i++) {
-            send(others.get(random.nextInt(others.size())), false, loop.nowNanos());
+        for (int i = 0; i < PEERS_PER_CHECK; i++) {
+            send(peerNames.get(random.nextInt(peerNames.size())), false, loop.nowNanos());
         }
     }
 
-    private void received(String from, byte[] body) {
+    private void onMessage(String from, byte[] body) {
         try {
             NumberCheck check = NumberCheck.parseFrom(body);
             if (check.getAnswer()) {
-                confirmed.confirmed(check.getNumber(), check.getStampNanos());
+                listener.onConfirmed(check.getNumber(), check.getStampNanos());
             } else {
                 send(from, true, check.getStampNanos());
             }
         } catch (InvalidProtocolBufferException e) {
-            LOG.warn("a number check of " + from + " can't be read", e);
+            LOG.warn("ignoring the configuration number check from " + from + ": malformed message", e);
         }
     }
 
@@ -79,12 +79,12 @@
         NumberCheck check = NumberCheck.newBuilder()
                 .setAnswer(answer)
                 .setStampNanos(stampNanos)
-                .setNumber(number())
+                .setNumber(activeNumber())
                 .build();
         peers.send(to, CHANNEL, check.toByteArray());
     }
 
-    private long number() {
+    private long activeNumber() {
         return store.inForce().map(Configuration::number).orElse(0L);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/orders/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to engines: which models and versions they are to have loaded. */
+/** Orders to engines to load and unload model versions. */
 package org.dotterelcourse.daemon.orders;
