--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/AnswerEvent.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/AnswerEvent.java
@@ -1,27 +1,27 @@
 package org.dotterelcourse.daemon.dispatch;
 
-/** What a caller's answer is made of. It always ends with {@link Finished} or {@link Failed}. */
+/** An event of a streamed answer. The stream always ends with {@link Finished} or {@link Failed}. */
 public sealed interface AnswerEvent {
     /**
-     * The next piece of the answer.
+     * The next part of the answer text.
      *
-     * @param text the piece
+     * @param text the generated text, usually one token
      */
     record Piece(String text) implements AnswerEvent {}
 
     /**
-     * The answer is whole.
+     * The answer is complete.
      *
-     * @param reason {@code stop} or {@code length}
-     * @param promptTokens length of the prompt
-     * @param completionTokens length of the answer
+     * @param reason the finish reason, {@code stop} or {@code length}
+     * @param promptTokens length of the prompt in tokens
+     * @param completionTokens length of the answer in tokens
      */
     record Finished(String reason, int promptTokens, int completionTokens) implements AnswerEvent {}
 
     /**
-     * The answer ends here without being whole.
+     * The answer ends incomplete.
      *
-     * @param failure what the caller is told
+     * @param failure the failure reported to the caller
      */
     record Failed(Failure failure) implements AnswerEvent {}
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Asks.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/CellRequests.java
@@ -7,9 +7,9 @@
 import org.dotterelcourse.policy.cell.CellRequest;
 import org.dotterelcourse.policy.cell.ClassTerms;
 
-/** Makes the scheduler's view of requests. */
-final class Asks {
-    private Asks() {}
+/** Converts calls to the requests that cells schedule. */
+final class CellRequests {
+    private CellRequests() {}
 
     static CellRequest of(ChatCall call) {
         return new CellRequest(
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatCall.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatCall.java
@@ -4,16 +4,16 @@
 import org.dotterelcourse.configuration.RequestClass;
 
 /**
- * A checked chat completion on its way.
+ * A validated chat completion call.
  *
- * @param id the request's id
- * @param customer the customer's name
- * @param requestClass its class
- * @param body the caller's JSON
- * @param maxTokens the most tokens the answer may have
- * @param inputTokens the estimated length of the prompt
- * @param prefix fingerprint of the prompt's start, 0 for none
- * @param arrivalNanos when the daemon took it
+ * @param id the request id
+ * @param customer the name of the customer
+ * @param requestClass the request class of the call
+ * @param body the JSON body sent by the caller
+ * @param maxTokens maximum length of the answer in tokens
+ * @param inputTokens estimated length of the prompt in tokens
+ * @param prefix fingerprint of the prompt prefix, 0 for none
+ * @param arrivalNanos arrival time at the daemon, in nanoseconds of the monotonic clock
  */
 public record ChatCall(
         String id,
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatDispatcher.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatDispatcher.java
@@ -12,8 +12,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Takes a chat completion from the ask to the last event of its answer: asks for a worker, streams from it, and where
- * that breaks goes on elsewhere from the tokens that the caller already has.
+ * Dispatches a chat completion: requests a grant, streams the answer from the granted worker and, if that fails, retries at
+ * another worker. A retry resumes after the tokens that the caller already has, where possible.
  */
 public final class ChatDispatcher {
     private static final Logger LOG = Logger.getLogger(ChatDispatcher.class);
@@ -23,11 +23,11 @@
     private final Retries retries;
 
     /**
-     * Makes a dispatcher.
+     * Creates a dispatcher.
      *
-     * @param grants where the leave to use a worker comes from
-     * @param engine sends to workers
-     * @param retries decides what follows a failure
+     * @param grants source of the grants for workers
+     * @param engine sends calls to engine workers
+     * @param retries decides whether and how failed attempts are retried
      */
     public ChatDispatcher(GrantSource grants, Engine engine, Retries retries) {
         this.grants = grants;
@@ -36,11 +36,11 @@
     }
 
     /**
-     * Runs a call. Cancelling withdraws it, or cancels it at its worker.
+     * Runs a call. Cancelling withdraws the call, or cancels it at its worker.
      *
      * @param call the call
-     * @param workers hears of each worker that it is sent to
-     * @return the answer's events, ended by a finished or failed one; never an error
+     * @param workers notified of each worker that the call is sent to
+     * @return the events of the answer, the last of which is finished or failed; never an error
      */
     public Flux<AnswerEvent> dispatch(ChatCall call, WorkerListener workers) {
         return Flux.defer(() -> attempt(new ChatProgress(call, workers)));
@@ -48,7 +48,7 @@
 
     private Flux<AnswerEvent> attempt(ChatProgress progress) {
         String upstream = progress.call().requestClass().upstream();
-        return grants.ask(upstream, progress.ask()).flatMapMany(result -> {
+        return grants.ask(upstream, progress.request()).flatMapMany(result -> {
             if (result instanceof GrantResult.Granted granted) {
                 return use(progress, granted.grant());
             }
@@ -69,24 +69,24 @@
         progress.workers().sentTo(grant.worker().name());
         return engine.stream(engineCall(progress, grant))
                 .takeUntilOther(grant.preempted())
-                .concatWith(Mono.fromSupplier(GrantUse::preempted))
+                .concatWith(Mono.fromSupplier(GrantUse::preemptionEvent))
                 .takeUntil(GrantUse::isLast)
-                .doOnNext(event -> seen(progress, grant, use, event))
-                .concatMap(event -> next(progress, grant, event), 1);
+                .doOnNext(event -> recordEvent(progress, grant, use, event))
+                .concatMap(event -> toAnswerEvents(progress, grant, event), 1);
     }
 
-    private void seen(ChatProgress progress, Grant grant, GrantUse use, EngineEvent event) {
-        use.add(event);
+    private void recordEvent(ChatProgress progress, Grant grant, GrantUse use, EngineEvent event) {
+        use.record(event);
         if (event instanceof EngineEvent.Piece piece) {
-            progress.add(piece.text());
+            progress.append(piece.text());
             grants.progress(grant, progress.tokens());
         } else {
-            // Before the next attempt asks: a request never holds a grant and waits for another at the same time.
+            // Release before the next attempt: a request never holds a grant while it waits for another.
             use.release(grants, grant);
         }
     }
 
-    private Flux<AnswerEvent> next(ChatProgress progress, Grant grant, EngineEvent event) {
+    private Flux<AnswerEvent> toAnswerEvents(ChatProgress progress, Grant grant, EngineEvent event) {
         if (event instanceof EngineEvent.Piece piece) {
             return Flux.just(new AnswerEvent.Piece(piece.text()));
         }
@@ -95,26 +95,26 @@
             return Flux.just(
                     new AnswerEvent.Finished(finished.reason(), finished.promptTokens(), finished.completionTokens()));
         }
-        return failed(progress, grant, ((EngineEvent.Failed) event).failure());
+        return handleFailure(progress, grant, ((EngineEvent.Failed) event).failure());
     }
 
-    private Flux<AnswerEvent> failed(ChatProgress progress, Grant grant, UpstreamFailure failure) {
-        progress.failed(failure);
+    private Flux<AnswerEvent> handleFailure(ChatProgress progress, Grant grant, UpstreamFailure failure) {
+        progress.recordFailure(failure);
         Attempt attempt = Retries.attempt(grant.worker().name(), failure, progress.tokens());
         RetryDecision decision =
-                retries.decide(progress.call().requestClass().upstream(), progress.ask(), attempt, true);
-        if (decision instanceof RetryDecision.Restart elsewhere) {
-            progress.next(elsewhere.request());
+                retries.decide(progress.call().requestClass().upstream(), progress.request(), attempt, true);
+        if (decision instanceof RetryDecision.Restart restart) {
+            progress.setRequest(restart.request());
             return attempt(progress);
         }
         if (decision instanceof RetryDecision.Resume resume) {
-            progress.next(resume.request());
+            progress.setRequest(resume.request());
             return attempt(progress);
         }
-        RetryDecision.GiveUp given = (RetryDecision.GiveUp) decision;
+        RetryDecision.GiveUp giveUp = (RetryDecision.GiveUp) decision;
         LOG.infof(
-                "request %s is given up after worker %s, %d tokens: %s; %s",
-                progress.call().id(), grant.worker().name(), progress.tokens(), given.reason(), failure);
+                "request %s failed at worker %s after %d tokens in total and is not retried: %s; %s",
+                progress.call().id(), grant.worker().name(), progress.tokens(), giveUp.reason(), failure);
         return Flux.just(new AnswerEvent.Failed(Refusals.failure(failure, progress.mayHaveRun())));
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatProgress.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ChatProgress.java
@@ -4,21 +4,21 @@
 import org.dotterelcourse.policy.cell.CellRequest;
 
 /**
- * How far a chat completion has come over all its attempts: the tokens that its caller has, and what is to be asked for
- * next. Used by one attempt at a time.
+ * Progress of a chat completion over all its attempts: the tokens sent to the caller, and the request for the next attempt.
+ * Not thread-safe; used by one attempt at a time.
  */
 final class ChatProgress {
     private final ChatCall call;
     private final WorkerListener workers;
     private final StringBuilder text = new StringBuilder();
-    private CellRequest ask;
+    private CellRequest request;
     private int tokens;
     private boolean mayHaveRun;
 
     ChatProgress(ChatCall call, WorkerListener workers) {
         this.call = call;
         this.workers = workers;
-        this.ask = Asks.of(call);
+        this.request = CellRequests.of(call);
     }
 
     ChatCall call() {
@@ -29,8 +29,8 @@
         return workers;
     }
 
-    CellRequest ask() {
-        return ask;
+    CellRequest request() {
+        return request;
     }
 
     String text() {
@@ -45,17 +45,17 @@
         return mayHaveRun;
     }
 
-    void add(String piece) {
+    void append(String piece) {
         text.append(piece);
         tokens++;
         mayHaveRun = true;
     }
 
-    void failed(UpstreamFailure failure) {
+    void recordFailure(UpstreamFailure failure) {
         mayHaveRun |= !failure.notRun();
     }
 
-    void next(CellRequest next) {
-        ask = next;
+    void setRequest(CellRequest newRequest) {
+        request = newRequest;
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Dispatchers.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Dispatchers.java
@@ -10,9 +10,9 @@
 import org.dotterelcourse.daemon.upstream.Engine;
 import org.dotterelcourse.daemon.upstream.PlainService;
 
-/** The dispatchers for the two kinds of upstreams. */
+/** Service that provides the dispatchers for the two kinds of upstreams, engines and plain services. */
 public final class Dispatchers implements Service {
-    /** The name that they are found by. */
+    /** The service name under which the kernel registers the dispatchers. */
     public static final ServiceName<Dispatchers> NAME = new ServiceName<>("dispatchers", Dispatchers.class);
 
     private final Engine engine;
@@ -22,10 +22,10 @@
     private ServiceDispatcher serviceDispatcher;
 
     /**
-     * Makes them; they work once started.
+     * Creates the service. The dispatchers are available after the start.
      *
-     * @param engine sends to engines
-     * @param service calls plain services
+     * @param engine sends calls to engine workers
+     * @param service sends calls to plain services
      */
     public Dispatchers(Engine engine, PlainService service) {
         this.engine = engine;
@@ -56,18 +56,18 @@
     }
 
     /**
-     * The dispatcher for engines.
+     * Returns the dispatcher for engines.
      *
-     * @return the dispatcher
+     * @return the dispatcher; null before the start
      */
     public ChatDispatcher chat() {
         return chatDispatcher;
     }
 
     /**
-     * The dispatcher for plain services.
+     * Returns the dispatcher for plain services.
      *
-     * @return the dispatcher
+     * @return the dispatcher; null before the start
      */
     public ServiceDispatcher service() {
         return serviceDispatcher;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Failure.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Failure.java
@@ -3,47 +3,47 @@
 import java.util.List;
 
 /**
- * Why a caller gets no whole answer, in the terms of problem details (RFC 9457).
+ * Why a caller gets no complete answer, in the terms of problem details (RFC 9457).
  *
  * @param status the HTTP status
- * @param title what kind of failure
- * @param detail this one in particular; never a stack trace, a key, a prompt or an answer
- * @param outcome whether the request ran
- * @param retryAfterNanos when it is worth asking again, from now; 0 if no time would help
- * @param known the names that would have been right, empty if that is not the matter
+ * @param title the type of the failure
+ * @param detail the cause of this failure; never contains a stack trace, a key, a prompt or an answer
+ * @param outcome whether the request was executed
+ * @param retryAfterNanos time until a retry may succeed, in nanoseconds; 0 if a retry is not useful
+ * @param known the valid names, if the failure is an unknown name; otherwise empty
  */
 public record Failure(
         int status, String title, String detail, Outcome outcome, long retryAfterNanos, List<String> known) {
-    /** Status of a request that can't be understood. */
+    /** HTTP status of a malformed request. */
     public static final int BAD_REQUEST = 400;
 
-    /** Status of a caller that isn't known. */
+    /** HTTP status of a caller without valid credentials. */
     public static final int UNAUTHORIZED = 401;
 
-    /** Status of a class, model, upstream or path that isn't known. */
+    /** HTTP status of an unknown class, model, upstream or path. */
     public static final int NOT_FOUND = 404;
 
-    /** Status of a body that is too large. */
+    /** HTTP status of a body that is too large. */
     public static final int TOO_LARGE = 413;
 
-    /** Status of a full queue or a spent budget. */
+    /** HTTP status for a full queue or an exhausted budget. */
     public static final int TOO_MANY = 429;
 
-    /** Status of a worker's failure. */
+    /** HTTP status for a failure of a worker. */
     public static final int BAD_GATEWAY = 502;
 
-    /** Status when no worker, or no daemon, is ready. */
+    /** HTTP status if no worker or no daemon is ready. */
     public static final int UNAVAILABLE = 503;
 
-    /** Status of a deadline that has passed. */
+    /** HTTP status for an exceeded deadline. */
     public static final int TIMEOUT = 504;
 
     /**
-     * A failure before anything ran, with no time to come back and no names to offer.
+     * Creates a failure of a request that was not executed, without retry time and valid names.
      *
      * @param status the HTTP status
-     * @param title what kind of failure
-     * @param detail this one in particular
+     * @param title the type of the failure
+     * @param detail the cause of this failure
      * @return the failure
      */
     public static Failure notRun(int status, String title, String detail) {
@@ -51,11 +51,11 @@
     }
 
     /**
-     * A failure after something may have run.
+     * Creates a failure of a request that may have been executed, without retry time and valid names.
      *
      * @param status the HTTP status
-     * @param title what kind of failure
-     * @param detail this one in particular
+     * @param title the type of the failure
+     * @param detail the cause of this failure
      * @return the failure
      */
     public static Failure unknown(int status, String title, String detail) {
@@ -63,9 +63,9 @@
     }
 
     /**
-     * The same, with the time to come back.
+     * Returns a copy with a retry time.
      *
-     * @param nanos from now
+     * @param nanos time until a retry may succeed, in nanoseconds
      * @return a new failure
      */
     public Failure retryAfter(long nanos) {
@@ -73,9 +73,9 @@
     }
 
     /**
-     * The same, with the names that would have been right.
+     * Returns a copy with the valid names.
      *
-     * @param names the names
+     * @param names the valid names
      * @return a new failure
      */
     public Failure known(List<String> names) {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Grant.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Grant.java
@@ -4,11 +4,11 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The leave to send one request to one worker, once.
+ * Permission to send one request to one worker, once.
  *
- * @param cell the cell it is from
- * @param ask the number of the ask in this daemon
- * @param worker where to send it
- * @param preempted completes when the request is to be stopped and asked for again
+ * @param cell the key of the cell that issued the grant
+ * @param ask the request number assigned by this daemon within the cell
+ * @param worker the worker to send the request to
+ * @param preempted completes when the request is preempted and must be stopped and requested again
  */
 public record Grant(String cell, long ask, Worker worker, Mono<Void> preempted) {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/GrantResult.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/GrantResult.java
@@ -2,20 +2,20 @@
 
 import org.dotterelcourse.policy.cell.RefusalReason;
 
-/** How an ask ended. */
+/** Result of requesting a grant. */
 public sealed interface GrantResult {
     /**
      * The request may be sent.
      *
-     * @param grant the leave to do so; must be released
+     * @param grant the grant, which must be released
      */
     record Granted(Grant grant) implements GrantResult {}
 
     /**
-     * The request will not be run.
+     * The request was refused and will not run.
      *
-     * @param reason why
-     * @param retryAfterNanos when it is worth asking again, from now
+     * @param reason why the request was refused
+     * @param retryAfterNanos time until a retry may succeed, in nanoseconds; 0 if unknown
      */
     record Refused(RefusalReason reason, long retryAfterNanos) implements GrantResult {}
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/GrantSource.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/GrantSource.java
@@ -4,39 +4,39 @@
 import org.dotterelcourse.policy.cell.Completion;
 import reactor.core.publisher.Mono;
 
-/** Where the leave to use a worker comes from. */
+/** Issues grants, which permit sending a request to a worker. */
 public interface GrantSource {
     /**
-     * Asks for a worker of an upstream. Cancelling withdraws the ask and gives back a grant that comes too late.
+     * Requests a grant for a worker of an upstream. Cancelling withdraws the request and releases a grant that arrives later.
      *
-     * @param upstream the upstream's name
-     * @param ask the request
-     * @return one value, when it is decided
+     * @param upstream the name of the upstream
+     * @param request the request to be scheduled
+     * @return the result, once the request is granted or refused
      */
-    Mono<GrantResult> ask(String upstream, CellRequest ask);
+    Mono<GrantResult> ask(String upstream, CellRequest request);
 
     /**
-     * Tells that the answer makes progress.
+     * Reports the progress of the answer.
      *
      * @param grant the grant
-     * @param outputTokens tokens that have arrived
+     * @param outputTokens number of tokens received so far
      */
     void progress(Grant grant, int outputTokens);
 
     /**
-     * Gives a grant back. Must be called once for each.
+     * Releases a grant. Must be called once for each grant.
      *
      * @param grant the grant
-     * @param completion what was seen
+     * @param completion how the use ended, with its measurements
      */
     void release(Grant grant, Completion completion);
 
     /**
-     * Whether a grant may be used now, to be asked right before the first byte is written. A grant that may not goes
-     * back by itself.
+     * Returns whether a grant may be used now. Must be checked right before the first byte is written. A grant that may no
+     * longer be used is released automatically.
      *
      * @param grant the grant
-     * @return false if its lease has run out, as after a pause of the process
+     * @return false if the lease has expired, for example while the process was paused
      */
     Mono<Boolean> mayUse(Grant grant);
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/GrantUse.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/GrantUse.java
@@ -7,9 +7,9 @@
 import org.dotterelcourse.daemon.upstream.UpstreamFailure;
 import org.dotterelcourse.policy.cell.Completion;
 
-/** Watches one use of a grant and says in the end what was seen, for the scheduler to learn from. */
+/** Measures one use of a grant and releases the grant with the measurements, which the scheduler uses for its estimates. */
 final class GrantUse {
-    private static final UpstreamFailure PREEMPTION =
+    private static final UpstreamFailure PREEMPTION_FAILURE =
             new UpstreamFailure(UpstreamFailure.Kind.PREEMPTED, "stopped for a higher tier");
 
     private final long startNanos = System.nanoTime();
@@ -18,7 +18,7 @@
     private final AtomicBoolean released = new AtomicBoolean();
     private Completion.End end = Completion.End.CANCELLED;
 
-    void add(EngineEvent event) {
+    void record(EngineEvent event) {
         if (event instanceof EngineEvent.Piece) {
             if (firstTokenNanos < 0) {
                 firstTokenNanos = System.nanoTime() - startNanos;
@@ -27,13 +27,13 @@
         } else if (event instanceof EngineEvent.Finished) {
             end = Completion.End.ANSWERED;
         } else {
-            end = endOf(((EngineEvent.Failed) event).failure());
+            end = completionEnd(((EngineEvent.Failed) event).failure());
         }
     }
 
-    void add(ServiceReply reply) {
+    void record(ServiceReply reply) {
         if (reply instanceof ServiceReply.Failed failed) {
-            end = endOf(failed.failure());
+            end = completionEnd(failed.failure());
         } else {
             firstTokenNanos = System.nanoTime() - startNanos;
             outputTokens = 1;
@@ -41,23 +41,23 @@
         }
     }
 
-    /** Gives the grant back, the first time it is called. */
+    /** Releases the grant. Further calls have no effect. */
     void release(GrantSource grants, Grant grant) {
         if (released.compareAndSet(false, true)) {
             grants.release(grant, new Completion(end, firstTokenNanos, System.nanoTime() - startNanos, outputTokens));
         }
     }
 
-    /** Stands after the events of a stream that was cut by the scheduler, so that it too has a last event. */
-    static EngineEvent preempted() {
-        return new EngineEvent.Failed(PREEMPTION);
+    /** Returns the final event of a stream that the scheduler has preempted, since the engine sends none in this case. */
+    static EngineEvent preemptionEvent() {
+        return new EngineEvent.Failed(PREEMPTION_FAILURE);
     }
 
     static boolean isLast(EngineEvent event) {
         return !(event instanceof EngineEvent.Piece);
     }
 
-    private static Completion.End endOf(UpstreamFailure failure) {
+    private static Completion.End completionEnd(UpstreamFailure failure) {
         return switch (failure.kind()) {
             case UNREACHABLE -> Completion.End.UNREACHABLE;
             case REFUSED -> Completion.End.REFUSED;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Outcome.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Outcome.java
@@ -1,18 +1,18 @@
 package org.dotterelcourse.daemon.dispatch;
 
-/** What a caller is told about whether its request ran. */
+/** Whether a request was executed, as reported to its caller. */
 public sealed interface Outcome {
-    /** The caller has the whole answer. */
+    /** The request was executed and answered completely. */
     record Answered() implements Outcome {}
 
-    /** It was not run, by anybody. Said only when that is certain. */
+    /** The request was certainly not executed by any worker. */
     record NotRun() implements Outcome {}
 
-    /** It may have run. */
+    /** The request may have been executed. */
     record Unknown() implements Outcome {}
 
     /**
-     * The word for it in headers, problem details, metrics and logs.
+     * Returns the text for this outcome in headers, problem details, metrics and logs.
      *
      * @return {@code answered}, {@code not-run} or {@code unknown}
      */
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Refusals.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Refusals.java
@@ -2,20 +2,20 @@
 
 import org.dotterelcourse.daemon.upstream.UpstreamFailure;
 
-/** Words refusals and failures for callers. */
+/** Converts refusals and upstream failures to the failures reported to callers. */
 final class Refusals {
     private Refusals() {}
 
     /**
-     * A request that got no grant.
+     * Converts the refusal of a request that got no grant.
      *
-     * @param refused why
+     * @param refused the refusal
      * @param mayHaveRun whether an earlier attempt may have run
-     * @return what the caller is told
+     * @return the failure to report to the caller
      */
     static Failure failure(GrantResult.Refused refused, boolean mayHaveRun) {
         Outcome outcome = mayHaveRun ? new Outcome.Unknown() : new Outcome.NotRun();
-        Failure plain =
+        Failure base =
                 switch (refused.reason()) {
                     case CLASS_FULL ->
                         Failure.notRun(
@@ -30,15 +30,15 @@
                                 Failure.UNAVAILABLE, "no worker", "no worker of the upstream can take the request");
                 };
         return new Failure(
-                plain.status(), plain.title(), plain.detail(), outcome, refused.retryAfterNanos(), plain.known());
+                base.status(), base.title(), base.detail(), outcome, refused.retryAfterNanos(), base.known());
     }
 
     /**
-     * A request that failed at its last worker.
+     * Converts the failure of the last attempt of a request.
      *
-     * @param failure what happened there
+     * @param failure the failure at the worker
      * @param mayHaveRun whether this or an earlier attempt may have run
-     * @return what the caller is told
+     * @return the failure to report to the caller
      */
     static Failure failure(UpstreamFailure failure, boolean mayHaveRun) {
         int status = failure.kind() == UpstreamFailure.Kind.SILENT ? Failure.TIMEOUT : Failure.BAD_GATEWAY;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Retries.java
@@ -13,43 +13,43 @@
 import org.dotterelcourse.policy.retry.RetryPolicy;
 import org.dotterelcourse.policy.retry.SafeRetryPolicy;
 
-/** Asks the retry policy, with one budget for each upstream. */
+/** Applies the retry policy, with one retry budget per upstream. */
 public final class Retries {
     private final RetryPolicy policy = new SafeRetryPolicy(new ConservativeFailureClassifier());
     private final Map<String, RetryBudget> budgets = new HashMap<>();
 
     /**
-     * Decides what follows a failed attempt.
+     * Decides whether and how a failed attempt is retried.
      *
-     * @param upstream the upstream's name
-     * @param ask the request as it was granted
+     * @param upstream the name of the upstream
+     * @param request the request of the failed attempt
      * @param attempt how the attempt ended
-     * @param resumable whether the upstream can go on after given tokens
-     * @return what follows
+     * @param resumable whether the upstream can resume an answer after a given text
+     * @return the decision
      */
-    synchronized RetryDecision decide(String upstream, CellRequest ask, Attempt attempt, boolean resumable) {
-        return policy.decide(ask, attempt, resumable, budget(upstream), System.nanoTime());
+    synchronized RetryDecision decide(String upstream, CellRequest request, Attempt attempt, boolean resumable) {
+        return policy.decide(request, attempt, resumable, budget(upstream), System.nanoTime());
     }
 
     /**
-     * A request was answered.
+     * Records a completely answered request, which refills the retry budget.
      *
-     * @param upstream the upstream's name
+     * @param upstream the name of the upstream
      */
     synchronized void succeeded(String upstream) {
         budget(upstream).recordSuccess();
     }
 
-    /** What the policy is told of a failure. */
-    static Attempt attempt(String worker, UpstreamFailure failure, int tokensSeen) {
-        boolean nothingSeen = tokensSeen == 0;
+    /** Converts an upstream failure to the form that the retry policy uses. */
+    static Attempt attempt(String worker, UpstreamFailure failure, int outputTokens) {
+        boolean noOutput = outputTokens == 0;
         return switch (failure.kind()) {
-            case UNREACHABLE -> new Attempt(worker, Attempt.End.NO_CONNECTION, false, tokensSeen, nothingSeen);
-            case REFUSED -> new Attempt(worker, Attempt.End.REFUSED_BEFORE_START, true, tokensSeen, nothingSeen);
-            case LEAVING -> new Attempt(worker, Attempt.End.LEAVING, true, tokensSeen, nothingSeen);
-            case BROKEN -> new Attempt(worker, Attempt.End.BROKEN, true, tokensSeen, nothingSeen);
-            case SILENT -> new Attempt(worker, Attempt.End.TIMED_OUT, true, tokensSeen, nothingSeen);
-            case PREEMPTED -> new Attempt(worker, Attempt.End.PREEMPTED, true, tokensSeen, nothingSeen);
+            case UNREACHABLE -> new Attempt(worker, Attempt.End.NO_CONNECTION, false, outputTokens, noOutput);
+            case REFUSED -> new Attempt(worker, Attempt.End.REFUSED_BEFORE_START, true, outputTokens, noOutput);
+            case LEAVING -> new Attempt(worker, Attempt.End.LEAVING, true, outputTokens, noOutput);
+            case BROKEN -> new Attempt(worker, Attempt.End.BROKEN, true, outputTokens, noOutput);
+            case SILENT -> new Attempt(worker, Attempt.End.TIMED_OUT, true, outputTokens, noOutput);
+            case PREEMPTED -> new Attempt(worker, Attempt.End.PREEMPTED, true, outputTokens, noOutput);
         };
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/SchedulerFactory.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/SchedulerFactory.java
@@ -2,12 +2,12 @@
 
 import org.dotterelcourse.policy.cell.CellScheduler;
 
-/** Makes the scheduler of a cell. */
+/** Creates the scheduler of a cell. */
 public interface SchedulerFactory {
     /**
-     * Makes one without workers.
+     * Creates a scheduler without workers.
      *
-     * @param cell the cell's name
+     * @param cell the cell key
      * @return a new scheduler
      */
     CellScheduler create(String cell);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ServiceAnswer.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ServiceAnswer.java
@@ -1,20 +1,20 @@
 package org.dotterelcourse.daemon.dispatch;
 
-/** How a call to a plain service ended for its caller. */
+/** Result of a call to a plain service. */
 public sealed interface ServiceAnswer {
     /**
-     * The service's own answer.
+     * The service has answered, with any status.
      *
      * @param status the HTTP status
-     * @param contentType the body's type
-     * @param body the whole body
+     * @param contentType the content type of the body
+     * @param body the complete body
      */
     record Answered(int status, String contentType, byte[] body) implements ServiceAnswer {}
 
     /**
-     * There is no answer.
+     * The call failed without an answer.
      *
-     * @param failure what the caller is told
+     * @param failure the failure reported to the caller
      */
     record Failed(Failure failure) implements ServiceAnswer {}
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ServiceRequest.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/ServiceRequest.java
@@ -3,16 +3,16 @@
 import org.dotterelcourse.configuration.RequestClass;
 
 /**
- * A checked call to a plain service on its way.
+ * A validated call to a plain service.
  *
- * @param id the request's id
- * @param customer the customer's name
- * @param requestClass its class
+ * @param id the request id
+ * @param customer the name of the customer
+ * @param requestClass the request class of the call
  * @param method the HTTP method
- * @param path path and query at the service, with the leading slash
- * @param contentType the body's type
- * @param body the whole body
- * @param arrivalNanos when the daemon took it
+ * @param path path and query at the service, with a leading slash
+ * @param contentType the content type of the body
+ * @param body the complete body
+ * @param arrivalNanos arrival time at the daemon, in nanoseconds of the monotonic clock
  */
 public record ServiceRequest(
         String id,
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/WorkerListener.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/WorkerListener.java
@@ -1,12 +1,12 @@
 package org.dotterelcourse.daemon.dispatch;
 
-/** Hears which workers a request is sent to. */
+/** Notified of the workers that a request is sent to. */
 @FunctionalInterface
 public interface WorkerListener {
     /**
-     * The request is sent to a worker.
+     * Called when the request is sent to a worker, once per attempt.
      *
-     * @param worker its name
+     * @param worker the name of the worker
      */
     void sentTo(String worker);
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** The way of one request: grant, worker, answer, retry, outcome. */
+/** Dispatch of requests to workers: grants, answers, retries and outcomes. */
 package org.dotterelcourse.daemon.dispatch;
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcherTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcherTest.java
@@ -20,12 +20,12 @@
 class ServiceDispatcherTest {
     private final List<ServiceCall> calls = new ArrayList<>();
 
-    // Something between the daemon and both workers has lost track of all connections that lay idle. A check waits for
-    // nothing over one of them; at the next worker it must not wait over another such one, or its client is refused
-    // though
-    // both workers are there.
+    // Regression test: a device between the daemon and both workers has dropped the state of all idle connections, so
+    // an
+    // attempt over a pooled connection times out. If the retry also used a pooled connection, it would time out at the
+    // second worker as well, and the call would fail although both workers are available.
     @Test
-    void aCallThatMetASilentConnectionGetsOneOfItsOwnAtTheNextWorker() {
+    void retryAfterSilentConnectionUsesNewConnection() {
         ServiceAnswer answer = dispatch(call -> call.pooled()
                 ? failed(UpstreamFailure.Kind.SILENT)
                 : new ServiceReply.Answered(200, "text/plain", bytes("yes")));
@@ -34,9 +34,11 @@
         assertThat(calls).extracting(ServiceCall::address).doesNotHaveDuplicates();
     }
 
-    // A worker is full. That says nothing of connections, and a new one for each repetition would cost it more.
+    // A refusal by a full worker doesn't indicate a broken connection, and opening a new connection for each retry
+    // would
+    // add to the worker's load.
     @Test
-    void aCallThatWasRefusedGoesOnOverPooledConnections() {
+    void retryAfterRefusalUsesPooledConnection() {
         ServiceAnswer answer = dispatch(call -> calls.size() == 1
                 ? failed(UpstreamFailure.Kind.REFUSED)
                 : new ServiceReply.Answered(200, "text/plain", bytes("yes")));
@@ -44,14 +46,14 @@
         assertThat(calls).extracting(ServiceCall::pooled).containsExactly(true, true);
     }
 
-    private interface Answers {
-        ServiceReply to(ServiceCall call);
+    private interface ReplyFunction {
+        ServiceReply reply(ServiceCall call);
     }
 
-    private ServiceAnswer dispatch(Answers answers) {
+    private ServiceAnswer dispatch(ReplyFunction replies) {
         PlainService service = call -> Mono.fromSupplier(() -> {
             calls.add(call);
-            return answers.to(call);
+            return replies.reply(call);
         });
         RequestClass check = RequestClass.builder()
                 .name("check")
@@ -81,9 +83,9 @@
                 List.of(new Worker("api-1", "10.0.0.1:80", "dc"), new Worker("api-2", "10.0.0.2:80", "dc"));
 
         @Override
-        public Mono<GrantResult> ask(String upstream, CellRequest ask) {
+        public Mono<GrantResult> ask(String upstream, CellRequest request) {
             Worker worker = WORKERS.stream()
-                    .filter(each -> !ask.excludedWorkers().contains(each.name()))
+                    .filter(candidate -> !request.excludedWorkers().contains(candidate.name()))
                     .findFirst()
                     .orElseThrow();
             return Mono.just(new GrantResult.Granted(new Grant("cell", 1, worker, Mono.never())));
@@ -91,12 +93,12 @@
 
         @Override
         public void progress(Grant grant, int outputTokens) {
-            // Nothing depends on it here.
+            // The tests don't check progress.
         }
 
         @Override
         public void release(Grant grant, Completion completion) {
-            // The workers are never full.
+            // The workers have unlimited capacity.
         }
 
         @Override
