--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
@@ -12,8 +12,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Decides whether a call that came with a ticket or an idempotency key may run now. What it lets through is told to it
- * again when it has ended, so that a repetition learns the outcome.
+ * Admits calls with a ticket or an idempotency key so that each runs at most once. The outcome of an admitted call must be
+ * reported when the call has ended; repeated calls then receive this outcome.
  */
 public final class OnceGate {
     private static final int CONFLICT = 409;
@@ -23,60 +23,60 @@
     private final Tickets tickets;
 
     /**
-     * Makes a gate.
+     * Creates a gate.
      *
-     * @param tickets remembers what has run
+     * @param tickets records the tickets and keys that were used
      */
     public OnceGate(Tickets tickets) {
         this.tickets = tickets;
     }
 
-    /** Whether a call may run. */
+    /** Result of the admission of a call. */
     public sealed interface Pass {}
 
     /**
-     * It may.
+     * The call may run.
      *
-     * @param ended to be told once what became of it
+     * @param ended must be called once with the outcome of the call
      */
     public record Run(Consumer<Outcome> ended) implements Pass {}
 
     /**
-     * It may not.
+     * The call may not run.
      *
-     * @param failure what the caller is told
+     * @param failure the failure to report to the caller
      */
     public record Stop(Failure failure) implements Pass {}
 
     /**
-     * Asks.
+     * Decides whether a call may run. A call with neither a ticket nor a key may always run.
      *
-     * @param customer the call's customer
-     * @param ticket the ticket's text, empty for none
-     * @param key the idempotency key, empty for none; not looked at where there is a ticket
-     * @param fingerprint a hash of the call
-     * @return one value
+     * @param customer the name of the customer
+     * @param ticket the text of the ticket, empty for none
+     * @param key the idempotency key, empty for none; ignored if there is a ticket
+     * @param fingerprint a hash of the call, to detect the use of a key for another call
+     * @return the decision
      */
     public Mono<Pass> enter(String customer, String ticket, String key, long fingerprint) {
         if (!ticket.isEmpty()) {
-            return tickets.spend(ticket, customer).map(this::ofTicket);
+            return tickets.spend(ticket, customer).map(this::admitTicket);
         }
         if (!key.isEmpty()) {
-            return tickets.enterKey(customer, key, fingerprint).map(entering -> ofKey(entering, customer, key));
+            return tickets.enterKey(customer, key, fingerprint).map(entering -> admitKey(entering, customer, key));
         }
         return Mono.just(new Run(outcome -> {}));
     }
 
-    private Pass ofTicket(Tickets.Spending spending) {
+    private Pass admitTicket(Tickets.Spending spending) {
         if (spending.verdict() instanceof TicketVerdict.SpendNow) {
-            return new Run(outcome -> tickets.finished(spending.request(), recorded(outcome)));
+            return new Run(outcome -> tickets.finished(spending.request(), toTicketOutcome(outcome)));
         }
         return new Stop(failure(spending.verdict()));
     }
 
-    private Pass ofKey(IdempotencyTable.Entering entering, String customer, String key) {
+    private Pass admitKey(IdempotencyTable.Entering entering, String customer, String key) {
         if (entering instanceof IdempotencyTable.Entering.First) {
-            return new Run(outcome -> tickets.keyFinished(customer, key, recorded(outcome)));
+            return new Run(outcome -> tickets.keyFinished(customer, key, toTicketOutcome(outcome)));
         }
         if (entering instanceof IdempotencyTable.Entering.Running) {
             return new Stop(Failure.unknown(CONFLICT, "still running", "the first call with this key still runs")
@@ -87,7 +87,7 @@
                     CONFLICT,
                     "repeated",
                     "the first call with this key has ended; its outcome is told here",
-                    outcome(ended.outcome()),
+                    toOutcome(ended.outcome()),
                     0,
                     List.of()));
         }
@@ -99,14 +99,14 @@
     }
 
     /**
-     * What a caller is told whose ticket may not be spent.
+     * Converts the verdict on a ticket that cannot be spent.
      *
-     * @param verdict why not
-     * @return the failure
+     * @param verdict the verdict
+     * @return the failure to report to the caller
      */
     public static Failure failure(TicketVerdict verdict) {
         if (verdict instanceof TicketVerdict.AlreadySpent spent) {
-            Outcome outcome = spent.outcome().map(OnceGate::outcome).orElse(new Outcome.Unknown());
+            Outcome outcome = spent.outcome().map(OnceGate::toOutcome).orElse(new Outcome.Unknown());
             return new Failure(CONFLICT, "ticket spent", "a call has run on this ticket", outcome, 0, List.of());
         }
         if (verdict instanceof TicketVerdict.Burned) {
@@ -122,7 +122,7 @@
                 Failure.UNAVAILABLE, "ticket not known", "the daemon that minted this ticket can't be asked any more");
     }
 
-    private static TicketOutcome recorded(Outcome outcome) {
+    private static TicketOutcome toTicketOutcome(Outcome outcome) {
         TicketOutcome.Result result;
         if (outcome instanceof Outcome.Answered) {
             result = TicketOutcome.Result.ANSWERED;
@@ -134,7 +134,7 @@
         return new TicketOutcome(result, new byte[0]);
     }
 
-    private static Outcome outcome(TicketOutcome recorded) {
+    private static Outcome toOutcome(TicketOutcome recorded) {
         return switch (recorded.result()) {
             case ANSWERED -> new Outcome.Answered();
             case NOT_RUN -> new Outcome.NotRun();
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/Tickets.java
@@ -24,25 +24,28 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
 
-/** Mints and spends tickets, here and at the daemons that minted them, and recognises repeated idempotency keys. */
+/**
+ * Mints tickets, spends them at the daemons that minted them, and detects repeated idempotency keys. A ticket entitles a
+ * call to run at most once.
+ */
 public final class Tickets implements Service {
-    /** The name that it is found by. */
+    /** The service name under which the kernel registers the tickets. */
     public static final ServiceName<Tickets> NAME = new ServiceName<>("tickets", Tickets.class);
 
     private static final String CHANNEL = "tickets";
     private static final Duration TICK = Duration.ofMillis(50);
     private static final int KEY_BYTES = 32;
 
-    /** An entry takes some 200 bytes, so a full table takes 10 MB of an entry VM's memory. */
+    /** An entry takes about 200 bytes, so a full table takes 10 MB of an entry VM's memory. */
     private static final int MAX_KEYS = 50_000;
 
-    /** One customer may not fill the table for all others. */
+    /** Prevents one customer from filling the table for all others. */
     private static final int MAX_KEYS_PER_CUSTOMER = 10_000;
 
-    /** A caller that still repeats a call after ten minutes is a person, who looks up first whether it ran. */
+    /** After ten minutes calls are only repeated by people, who first check whether the call was executed. */
     private static final long KEY_LIFETIME_NANOS = Duration.ofMinutes(10).toNanos();
 
-    private final Map<Long, MonoSink<Spending>> waiting = new HashMap<>();
+    private final Map<Long, MonoSink<Spending>> pendingRequests = new HashMap<>();
     private final IdempotencyTable keys = new IdempotencyTable(MAX_KEYS, MAX_KEYS_PER_CUSTOMER, KEY_LIFETIME_NANOS);
     private ControlLoop loop;
     private Peers peers;
@@ -50,10 +53,10 @@
     private TicketDesk desk;
 
     /**
-     * What came of a ticketed call's question whether it may run.
+     * Result of spending or burning a ticket.
      *
-     * @param request the call's number, for {@link #finished}
-     * @param verdict whether it may
+     * @param request the request number, to be passed to {@link #finished}
+     * @param verdict the verdict on the ticket
      */
     public record Spending(long request, TicketVerdict verdict) {}
 
@@ -77,65 +80,65 @@
         TicketSettings settings = TicketSettings.defaults();
         mint = new TicketMint(self, key, settings);
         desk = new TicketDesk(self, mint, settings);
-        peers.registerListener(CHANNEL, this::received);
-        loop.schedulePeriodically(TICK, () -> carryOut(desk.advance(loop.nowNanos())));
+        peers.registerListener(CHANNEL, this::onMessage);
+        loop.schedulePeriodically(TICK, () -> applyEffects(desk.advance(loop.nowNanos())));
         return List.of();
     }
 
     @Override
     public void stop() {
-        // What was minted here ends with the process: nobody else can spend it.
+        // Tickets minted by this process become invalid, because no other daemon can spend them.
     }
 
     /**
      * Mints a ticket.
      *
-     * @param customer the only customer who may spend it
-     * @return the ticket, or when to ask again
+     * @param customer the customer, the only one that may spend the ticket
+     * @return the ticket, or the time until a retry may succeed
      */
     public Mono<TicketMint.Minting> mint(String customer) {
         return Mono.create(sink -> loop.execute(() -> sink.success(mint.mint(customer, loop.nowNanos()))));
     }
 
     /**
-     * Asks whether a ticketed call may run.
+     * Spends a ticket to run a call.
      *
-     * @param ticket the ticket's text
-     * @param customer the call's customer
+     * @param ticket the text of the ticket
+     * @param customer the name of the customer
      * @return the verdict; with {@link TicketVerdict.SpendNow}, {@link #finished} must be called
      */
     public Mono<Spending> spend(String ticket, String customer) {
-        return Mono.create(sink -> loop.execute(() -> started(desk.spend(ticket, customer, loop.nowNanos()), sink)));
+        return Mono.create(sink -> loop.execute(() -> submit(desk.spend(ticket, customer, loop.nowNanos()), sink)));
     }
 
     /**
-     * Burns a ticket unless it was spent.
+     * Burns a ticket, which prevents it from being spent later, unless it was already spent.
      *
-     * @param ticket the ticket's text
-     * @param customer the customer
-     * @return the verdict
+     * @param ticket the text of the ticket
+     * @param customer the name of the customer
+     * @return the verdict on the ticket
      */
     public Mono<Spending> burn(String ticket, String customer) {
-        return Mono.create(sink -> loop.execute(() -> started(desk.burn(ticket, customer, loop.nowNanos()), sink)));
+        return Mono.create(sink -> loop.execute(() -> submit(desk.burn(ticket, customer, loop.nowNanos()), sink)));
     }
 
     /**
-     * A ticketed call has ended.
+     * Records the end of a call with a ticket.
      *
-     * @param request its number
-     * @param outcome what became of it
+     * @param request the request number from {@link Spending}
+     * @param outcome the outcome of the call
      */
     public void finished(long request, TicketOutcome outcome) {
-        loop.execute(() -> carryOut(desk.finished(request, outcome, loop.nowNanos())));
+        loop.execute(() -> applyEffects(desk.finished(request, outcome, loop.nowNanos())));
     }
 
     /**
-     * Asks whether a call with an idempotency key may run.
+     * Registers a call with an idempotency key.
      *
-     * @param customer its customer
-     * @param key the key
-     * @param fingerprint a hash of the call
-     * @return what it may do; with {@link IdempotencyTable.Entering.First}, {@link #keyFinished} must be called
+     * @param customer the name of the customer
+     * @param key the idempotency key
+     * @param fingerprint a hash of the call, to detect the use of the key for another call
+     * @return whether the call may run; with {@link IdempotencyTable.Entering.First}, {@link #keyFinished} must be called
      */
     public Mono<IdempotencyTable.Entering> enterKey(String customer, String key, long fingerprint) {
         return Mono.create(
@@ -143,33 +146,33 @@
     }
 
     /**
-     * The first call with an idempotency key has ended.
+     * Records the end of the first call with an idempotency key.
      *
-     * @param customer its customer
-     * @param key the key
-     * @param outcome what became of it
+     * @param customer the name of the customer
+     * @param key the idempotency key
+     * @param outcome the outcome of the call
      */
     public void keyFinished(String customer, String key, TicketOutcome outcome) {
         loop.execute(() -> keys.finished(customer, key, outcome, loop.nowNanos()));
     }
 
-    private void started(TicketDesk.Started started, MonoSink<Spending> sink) {
-        waiting.put(started.request(), sink);
-        carryOut(started.effects());
+    private void submit(TicketDesk.Started started, MonoSink<Spending> sink) {
+        pendingRequests.put(started.request(), sink);
+        applyEffects(started.effects());
     }
 
-    private void received(String from, byte[] body) {
+    private void onMessage(String from, byte[] body) {
         if (TicketCodec.decode(body) instanceof TicketCodec.Decoded.Message decoded) {
-            carryOut(desk.on(from, decoded.message(), loop.nowNanos()));
+            applyEffects(desk.on(from, decoded.message(), loop.nowNanos()));
         }
     }
 
-    private void carryOut(List<TicketEffect> effects) {
+    private void applyEffects(List<TicketEffect> effects) {
         for (TicketEffect effect : effects) {
             if (effect instanceof TicketEffect.Send send) {
                 peers.send(send.to(), CHANNEL, TicketCodec.encode(send.message()));
             } else if (effect instanceof TicketEffect.Verdict verdict) {
-                MonoSink<Spending> sink = waiting.remove(verdict.request());
+                MonoSink<Spending> sink = pendingRequests.remove(verdict.request());
                 if (sink != null) {
                     sink.success(new Spending(verdict.request(), verdict.verdict()));
                 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/package-info.java
@@ -1,2 +1,2 @@
-/** Calls that may run at most once: tickets and idempotency keys. */
+/** At-most-once execution of calls by tickets and idempotency keys. */
 package org.dotterelcourse.daemon.once;
