--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Outcome.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/dispatch/Outcome.java
@@ -16,7 +16,7 @@
      *
      * @return {@code answered}, {@code not-run} or {@code unknown}
      */
-    default String word() {
+    default String label() {
         if (this instanceof Answered) {
             return "answered";
         }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Replies.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Replies.java
@@ -19,7 +19,7 @@
 
     static Mono<Void> problem(HttpServerResponse response, Failure failure, String requestId) {
         response.status(failure.status());
-        response.header(OUTCOME, failure.outcome().word());
+        response.header(OUTCOME, failure.outcome().label());
         if (failure.retryAfterNanos() > 0) {
             response.header("Retry-After", Long.toString(ProblemDetails.retryAfterSeconds(failure)));
         }
@@ -29,7 +29,7 @@
 
     static Mono<Void> answered(HttpServerResponse response, int status, String contentType, byte[] body) {
         response.status(status);
-        response.header(OUTCOME, new Outcome.Answered().word());
+        response.header(OUTCOME, new Outcome.Answered().label());
         return bytes(response, contentType, body);
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/ProblemDetails.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/http/ProblemDetails.java
@@ -28,7 +28,7 @@
         problem.put("title", failure.title());
         problem.put("status", failure.status());
         problem.put("detail", failure.detail());
-        problem.put("outcome", failure.outcome().word());
+        problem.put("outcome", failure.outcome().label());
         if (!requestId.isEmpty()) {
             problem.put("requestId", requestId);
         }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/metrics/RequestMetrics.java
@@ -79,13 +79,13 @@
         registry.counter("refused." + failure.status()).inc();
         if (!requestClass.isEmpty()) {
             registry.counter("class." + requestClass + ".outcome."
-                            + failure.outcome().word())
+                            + failure.outcome().label())
                     .inc();
         }
         MDC.put("requestId", id);
         MDC.put("class", requestClass);
         MDC.put("customer", customer);
-        MDC.put("outcome", failure.outcome().word());
+        MDC.put("outcome", failure.outcome().label());
         MDC.put("reason", failure.title());
         LOG.info("request");
         MDC.clear();
@@ -93,7 +93,7 @@
 
     void recordEnd(RequestTracker request, Outcome outcome, String reason) {
         String prefix = "class." + request.requestClass() + ".";
-        registry.counter(prefix + "outcome." + outcome.word()).inc();
+        registry.counter(prefix + "outcome." + outcome.label()).inc();
         boolean answered = outcome instanceof Outcome.Answered;
         boolean targetsMet = answered && request.metTargets();
         registry.counter(prefix + (targetsMet ? "attained" : "missed")).inc();
@@ -110,7 +110,7 @@
         MDC.put("class", request.requestClass());
         MDC.put("customer", request.customer());
         MDC.put("worker", request.worker());
-        MDC.put("outcome", outcome.word());
+        MDC.put("outcome", outcome.label());
         MDC.put("reason", reason);
         MDC.put("attained", targetsMet);
         MDC.put("tokens", request.tokens());
