--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
@@ -73,15 +73,15 @@
             Charge.Charged charged) {
         String ticket = exchange.headers().get(TICKET, "");
         String key = exchange.headers().get(KEY, "");
-        return once.enter(customer, ticket, key, fingerprint).map(pass -> {
-            if (pass instanceof OnceGate.Run run) {
+        return once.enter(customer, ticket, key, fingerprint).map(admission -> {
+            if (admission instanceof OnceGate.Run run) {
                 return new Admitted((outcome, outputTokens) -> {
                     run.ended().accept(outcome);
                     settle(requestClass, inputTokens, charged, outcome, outputTokens);
                 });
             }
             charged.settle().accept(0);
-            return new Refused(((OnceGate.Stop) pass).failure());
+            return new Refused(((OnceGate.Stop) admission).failure());
         });
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
@@ -32,21 +32,21 @@
     }
 
     /** Result of the admission of a call. */
-    public sealed interface Pass {}
+    public sealed interface Admission {}
 
     /**
      * The call may run.
      *
      * @param ended must be called once with the outcome of the call
      */
-    public record Run(Consumer<Outcome> ended) implements Pass {}
+    public record Run(Consumer<Outcome> ended) implements Admission {}
 
     /**
      * The call may not run.
      *
      * @param failure the failure to report to the caller
      */
-    public record Stop(Failure failure) implements Pass {}
+    public record Stop(Failure failure) implements Admission {}
 
     /**
      * Decides whether a call may run. A call with neither a ticket nor a key may always run.
@@ -57,7 +57,7 @@
      * @param fingerprint a hash of the call, to detect the use of a key for another call
      * @return the decision
      */
-    public Mono<Pass> enter(String customer, String ticket, String key, long fingerprint) {
+    public Mono<Admission> enter(String customer, String ticket, String key, long fingerprint) {
         if (!ticket.isEmpty()) {
             return tickets.spend(ticket, customer).map(this::admitTicket);
         }
@@ -67,14 +67,14 @@
         return Mono.just(new Run(outcome -> {}));
     }
 
-    private Pass admitTicket(Tickets.Spending spending) {
+    private Admission admitTicket(Tickets.Spending spending) {
         if (spending.verdict() instanceof TicketVerdict.SpendNow) {
             return new Run(outcome -> tickets.finished(spending.request(), toTicketOutcome(outcome)));
         }
         return new Stop(failure(spending.verdict()));
     }
 
-    private Pass admitKey(IdempotencyTable.Entering entering, String customer, String key) {
+    private Admission admitKey(IdempotencyTable.Entering entering, String customer, String key) {
         if (entering instanceof IdempotencyTable.Entering.First) {
             return new Run(outcome -> tickets.keyFinished(customer, key, toTicketOutcome(outcome)));
         }
