--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
@@ -74,9 +74,9 @@
         String ticket = exchange.headers().get(TICKET, "");
         String key = exchange.headers().get(KEY, "");
         return once.enter(customer, ticket, key, fingerprint).map(admission -> {
-            if (admission instanceof OnceGate.Run run) {
+            if (admission instanceof OnceGate.Admitted admitted) {
                 return new Admitted((outcome, outputTokens) -> {
-                    run.ended().accept(outcome);
+                    admitted.ended().accept(outcome);
                     settle(requestClass, inputTokens, charged, outcome, outputTokens);
                 });
             }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
@@ -39,7 +39,7 @@
      *
      * @param ended must be called once with the outcome of the call
      */
-    public record Run(Consumer<Outcome> ended) implements Admission {}
+    public record Admitted(Consumer<Outcome> ended) implements Admission {}
 
     /**
      * The call may not run.
@@ -64,19 +64,19 @@
         if (!key.isEmpty()) {
             return tickets.enterKey(customer, key, fingerprint).map(entering -> admitKey(entering, customer, key));
         }
-        return Mono.just(new Run(outcome -> {}));
+        return Mono.just(new Admitted(outcome -> {}));
     }
 
     private Admission admitTicket(Tickets.Spending spending) {
         if (spending.verdict() instanceof TicketVerdict.SpendNow) {
-            return new Run(outcome -> tickets.finished(spending.request(), toTicketOutcome(outcome)));
+            return new Admitted(outcome -> tickets.finished(spending.request(), toTicketOutcome(outcome)));
         }
         return new Stop(failure(spending.verdict()));
     }
 
     private Admission admitKey(IdempotencyTable.Entering entering, String customer, String key) {
         if (entering instanceof IdempotencyTable.Entering.First) {
-            return new Run(outcome -> tickets.keyFinished(customer, key, toTicketOutcome(outcome)));
+            return new Admitted(outcome -> tickets.keyFinished(customer, key, toTicketOutcome(outcome)));
         }
         if (entering instanceof IdempotencyTable.Entering.Running) {
             return new Stop(Failure.unknown(CONFLICT, "still running", "the first call with this key still runs")
