--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
@@ -81,7 +81,7 @@
                 });
             }
             charged.settle().accept(0);
-            return new Refused(((OnceGate.Stop) admission).failure());
+            return new Refused(((OnceGate.Rejected) admission).failure());
         });
     }
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
@@ -46,7 +46,7 @@
      *
      * @param failure the failure to report to the caller
      */
-    public record Stop(Failure failure) implements Admission {}
+    public record Rejected(Failure failure) implements Admission {}
 
     /**
      * Decides whether a call may run. A call with neither a ticket nor a key may always run.
@@ -71,7 +71,7 @@
         if (spending.verdict() instanceof TicketVerdict.SpendNow) {
             return new Admitted(outcome -> tickets.finished(spending.request(), toTicketOutcome(outcome)));
         }
-        return new Stop(failure(spending.verdict()));
+        return new Rejected(failure(spending.verdict()));
     }
 
     private Admission admitKey(IdempotencyTable.Entering entering, String customer, String key) {
@@ -79,11 +79,11 @@
             return new Admitted(outcome -> tickets.keyFinished(customer, key, toTicketOutcome(outcome)));
         }
         if (entering instanceof IdempotencyTable.Entering.Running) {
-            return new Stop(Failure.unknown(CONFLICT, "still running", "the first call with this key still runs")
+            return new Rejected(Failure.unknown(CONFLICT, "still running", "the first call with this key still runs")
                     .retryAfter(ONE_SECOND_NANOS));
         }
         if (entering instanceof IdempotencyTable.Entering.Ended ended) {
-            return new Stop(new Failure(
+            return new Rejected(new Failure(
                     CONFLICT,
                     "repeated",
                     "the first call with this key has ended; its outcome is told here",
@@ -92,9 +92,9 @@
                     List.of()));
         }
         if (entering instanceof IdempotencyTable.Entering.OtherCall) {
-            return new Stop(Failure.notRun(CONFLICT, "key in use", "this key was used for another call"));
+            return new Rejected(Failure.notRun(CONFLICT, "key in use", "this key was used for another call"));
         }
-        return new Stop(Failure.notRun(Failure.TOO_MANY, "too many keys", "no more keys can be remembered now")
+        return new Rejected(Failure.notRun(Failure.TOO_MANY, "too many keys", "no more keys can be remembered now")
                 .retryAfter(ONE_SECOND_NANOS));
     }
 
