--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/EntryGate.java
@@ -73,7 +73,7 @@
             Charge.Charged charged) {
         String ticket = exchange.headers().get(TICKET, "");
         String key = exchange.headers().get(KEY, "");
-        return once.enter(customer, ticket, key, fingerprint).map(admission -> {
+        return once.admit(customer, ticket, key, fingerprint).map(admission -> {
             if (admission instanceof OnceGate.Admitted admitted) {
                 return new Admitted((outcome, outputTokens) -> {
                     admitted.ended().accept(outcome);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/once/OnceGate.java
@@ -57,7 +57,7 @@
      * @param fingerprint a hash of the call, to detect the use of a key for another call
      * @return the decision
      */
-    public Mono<Admission> enter(String customer, String ticket, String key, long fingerprint) {
+    public Mono<Admission> admit(String customer, String ticket, String key, long fingerprint) {
         if (!ticket.isEmpty()) {
             return tickets.spend(ticket, customer).map(this::admitTicket);
         }
