--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/GrantWire.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/GrantTransport.java
@@ -2,7 +2,7 @@
 
 import org.dotterelcourse.coordination.grant.GrantMessage;
 
-/** Carries messages of the grant protocol to other daemons, and to this one. */
-interface GrantWire {
+/** Sends messages of the grant protocol to other daemons or to this daemon itself. */
+interface GrantTransport {
     void send(String member, GrantMessage message);
 }
