--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/Forwarder.java
@@ -186,10 +186,7 @@
         }
     }
 
-    /**
-     * Returns a Mono that fails at the call's deadline. A stream that is still in progress then ends with an error, so
-     * that the client does not take it for complete.
-     */
+    /** Fails at the call's deadline, so that the client does not take a stream still in progress for complete. */
     private Mono<Void> deadline(Call call) {
         Duration remaining =
                 Duration.ofMillis(Math.max(0, call.remainingMillis(loop.nowNanos())) + DEADLINE_GRACE_MILLIS);
@@ -384,10 +381,7 @@
                         : LocalReply.notExecuted(reason, RETRY_AFTER_FULL_MILLIS));
     }
 
-    /**
-     * Returns the reply to a request in quarantine: a rejection until the quarantine ends, unless there is an earlier
-     * response of a worker or the request may have been executed.
-     */
+    /** Rejects a quarantined request, unless a worker has responded to it before or may have executed it. */
     private static Reply quarantineReply(
             Call call, Optional<BufferedResponse> earlierResponse, Verdict.Quarantined quarantined) {
         String reason = "workers crash under this request";
