--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -232,8 +232,8 @@
             return;
         }
         RunningRequest stopped = victim.get();
-        effects.add(new CellEffect.Preempted(stopped.ask().id(), stopped.grant()));
-        int tokens = stopped.outputTokens() - stopped.ask().resumedTokens();
+        effects.add(new CellEffect.Preempted(stopped.cellRequest().id(), stopped.grant()));
+        int tokens = stopped.outputTokens() - stopped.cellRequest().resumedTokens();
         end(stopped, new Completion(Completion.End.CANCELLED, -1, nowNanos - stopped.grantedNanos(), tokens), nowNanos);
         queue.pollById(urgent.request().id());
         effects.add(grant(urgent, stopped.worker(), false, nowNanos));
@@ -281,10 +281,10 @@
 
     private void end(RunningRequest ended, Completion completion, long nowNanos) {
         running.remove(ended.grant());
-        runningRequestIds.remove(ended.ask().id());
+        runningRequestIds.remove(ended.cellRequest().id());
         double charged = chargedWork.remove(ended.grant());
         placement.recordRelease(ended, completion, nowNanos);
-        CellRequest request = ended.ask();
+        CellRequest request = ended.cellRequest();
         boolean isAnswered = completion.end() == Completion.End.ANSWERED;
         // The answer of a plain service has no tokens, and counts as one unit of work.
         int tokens = isAnswered ? Math.max(1, completion.outputTokens()) : completion.outputTokens();
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/CellPlacement.java
@@ -62,12 +62,12 @@
     }
 
     @Override
-    public boolean canServe(CellRequest ask) {
+    public boolean canServe(CellRequest request) {
         if (!isPublished) {
             return true;
         }
         for (Worker worker : workers.values()) {
-            if (!worker.isLeaving() && !ask.excludedWorkers().contains(worker.name())) {
+            if (!worker.isLeaving() && !request.excludedWorkers().contains(worker.name())) {
                 return true;
             }
         }
@@ -75,9 +75,9 @@
     }
 
     @Override
-    public boolean isUsable(String worker, CellRequest ask) {
+    public boolean isUsable(String worker, CellRequest request) {
         Worker found = workers.get(worker);
-        return found != null && found.isUsable(ask);
+        return found != null && found.isUsable(request);
     }
 
     @Override
@@ -103,7 +103,7 @@
         if (best == null) {
             return Optional.empty();
         }
-        long prefix = request.ask().prefix();
+        long prefix = request.cellRequest().prefix();
         if (prefix == 0 || !settings.isEnabled(Mechanism.PREFIX_AFFINITY)) {
             return Optional.of(best.name());
         }
@@ -221,7 +221,7 @@
         Worker selected = null;
         long maxWeight = 0;
         for (Worker worker : eligible) {
-            long weight = worker.affinityWeight(request.ask().prefix());
+            long weight = worker.affinityWeight(request.cellRequest().prefix());
             boolean higher = selected == null || Long.compareUnsigned(weight, maxWeight) > 0;
             if (higher && worker.expectedFinish(request, nowNanos) <= maxFinish) {
                 selected = worker;
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Placement.java
@@ -21,20 +21,20 @@
     /**
      * Checks whether any worker could serve the request once it has a free slot.
      *
-     * @param ask the request
+     * @param request the request
      * @return whether a worker is neither leaving nor excluded for the request; always true until the first list of
      *     workers has been published
      */
-    boolean canServe(CellRequest ask);
+    boolean canServe(CellRequest request);
 
     /**
      * Checks whether a worker could serve the request after one of its running requests has been preempted.
      *
      * @param worker the worker's name
-     * @param ask the request
+     * @param request the request
      * @return whether the worker is neither leaving, ejected nor excluded for the request; false for an unknown worker
      */
-    boolean isUsable(String worker, CellRequest ask);
+    boolean isUsable(String worker, CellRequest request);
 
     /**
      * Chooses a worker for a request. The caller reports the grant by {@link #recordGrant}.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/RunningRequest.java
@@ -31,7 +31,7 @@
         this.isMinimumShareGrant = isMinimumShareGrant;
         this.grantedNanos = nowNanos;
         this.isLong = placementRequest.isLong();
-        this.outputTokens = placementRequest.ask().resumedTokens();
+        this.outputTokens = placementRequest.cellRequest().resumedTokens();
         this.lastSampleNanos = -1;
     }
 
@@ -45,12 +45,12 @@
     }
 
     /**
-     * Returns the request itself.
+     * Returns the request as the cell received it.
      *
      * @return the request
      */
-    public CellRequest ask() {
-        return placementRequest.ask();
+    public CellRequest cellRequest() {
+        return placementRequest.cellRequest();
     }
 
     /**
@@ -104,7 +104,7 @@
      * @return whether there are more output tokens than the request was resumed from
      */
     public boolean hasOutput() {
-        return outputTokens > ask().resumedTokens();
+        return outputTokens > cellRequest().resumedTokens();
     }
 
     boolean isLong() {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/placement/Worker.java
@@ -100,10 +100,10 @@
     }
 
     boolean canAccept(PlacementRequest request, long nowNanos) {
-        if (!hasCapacity(nowNanos) || isExcludedFor(request.ask())) {
+        if (!hasCapacity(nowNanos) || isExcludedFor(request.cellRequest())) {
             return false;
         }
-        if (health.isEjected() && !isEligibleAsProbe(request.ask())) {
+        if (health.isEjected() && !isEligibleAsProbe(request.cellRequest())) {
             return false;
         }
         if (!request.isLong() || !settings.isEnabled(Mechanism.LONG_JOB_CAP)) {
@@ -112,8 +112,8 @@
         return longRequests < Math.max(1, (int) (settings.longJobShare() * info.concurrency()));
     }
 
-    boolean isUsable(CellRequest ask) {
-        return !isLeaving() && !health.isEjected() && !isExcludedFor(ask);
+    boolean isUsable(CellRequest request) {
+        return !isLeaving() && !health.isEjected() && !isExcludedFor(request);
     }
 
     /** Returns a rough estimate of the time to finish the request, in decode steps of an empty worker. */
@@ -143,7 +143,7 @@
     void recordProgress(
             RunningRequest running, int outputTokens, boolean becomesLong, int tokensPerSample, long nowNanos) {
         lastActivityNanos = nowNanos;
-        if (!running.hasOutput() && outputTokens > running.ask().resumedTokens()) {
+        if (!running.hasOutput() && outputTokens > running.cellRequest().resumedTokens()) {
             subtractPrefill(running);
         }
         if (becomesLong && !running.isLong()) {
@@ -209,13 +209,13 @@
         return fresh && settings.isEnabled(Mechanism.LOAD_REPORTS) ? foreignRequests : 0;
     }
 
-    private boolean isExcludedFor(CellRequest ask) {
-        return ask.excludedWorkers().contains(info.name());
+    private boolean isExcludedFor(CellRequest request) {
+        return request.excludedWorkers().contains(info.name());
     }
 
     /** A probe may fail, so it is neither a request that must run only once nor one of the highest tier. */
-    private static boolean isEligibleAsProbe(CellRequest ask) {
-        return ask.idempotent() && ask.terms().tier() > ClassTerms.HIGHEST_TIER;
+    private static boolean isEligibleAsProbe(CellRequest request) {
+        return request.idempotent() && request.terms().tier() > ClassTerms.HIGHEST_TIER;
     }
 
     private void subtractPrefill(RunningRequest running) {
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/preemption/ResumablePreemption.java
@@ -62,7 +62,7 @@
     }
 
     private boolean isPreemptible(RunningRequest candidate, CellRequest urgent) {
-        CellRequest request = candidate.ask();
+        CellRequest request = candidate.cellRequest();
         boolean resumable = request.idempotent() && request.terms().tokenIntervalNanos() > 0;
         boolean hasProgressed = request.resumedTokens() == 0 || candidate.hasOutput();
         return resumable
@@ -73,13 +73,13 @@
     }
 
     private double gain(RunningRequest candidate) {
-        CellRequest request = candidate.ask();
+        CellRequest request = candidate.cellRequest();
         double remainingWork = estimator.remaining(request.terms(), request.customer(), candidate.outputTokens());
         double prefillWork = settings.prefillWeight() * (request.inputTokens() + candidate.outputTokens());
         return remainingWork - prefillWork;
     }
 
     private static int tier(RunningRequest running) {
-        return running.ask().terms().tier();
+        return running.cellRequest().terms().tier();
     }
 }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -151,7 +151,7 @@
     @Test
     void limitsTheLongRequestsOfAWorker() {
         int placed = 0;
-        PlacementRequest longRequest = new PlacementRequest(ask(0, 2), 0, 1_000, true);
+        PlacementRequest longRequest = new PlacementRequest(cellRequest(0, 2), 0, 1_000, true);
         while (placement.place(longRequest, 0).isPresent()) {
             place(longRequest, 0);
             placed++;
@@ -228,10 +228,10 @@
     }
 
     private static PlacementRequest request(long prefix, int tokens) {
-        return new PlacementRequest(ask(prefix, tokens), 0, tokens, false);
+        return new PlacementRequest(cellRequest(prefix, tokens), 0, tokens, false);
     }
 
-    private static CellRequest ask(long prefix, int input) {
+    private static CellRequest cellRequest(long prefix, int input) {
         return new CellRequest("a", TERMS, "bank", 0, input, prefix, true, 0, Set.of());
     }
 
