--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LocalShare.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/LocalShare.java
@@ -10,10 +10,10 @@
  * Computes the share of a cell's capacity that one daemon may use while it cannot reach an owner.
  *
  * <p>A network partition can leave many daemons without an owner at once. If each used the whole cell, its engines would
- * be overloaded by a factor of the number of daemons; if none used it, callers would be refused while engines are idle.
- * Each worker's slots are therefore divided evenly among the daemons, and the remainder goes to the daemons with the
- * highest rendezvous weight for that worker. The shares of all daemons add up to about the capacity, because their
- * membership views may differ.
+ * receive a multiple of their capacity, up to the number of daemons; if none used it, callers would be refused while
+ * engines are idle. Each worker's slots are therefore divided evenly among the daemons, and the remainder goes to the
+ * daemons with the highest rendezvous weight for that worker. The shares of all daemons add up to the capacity, though
+ * only approximately while their membership views differ.
  */
 final class LocalShare {
     private LocalShare() {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/OwnedGrants.java
@@ -207,9 +207,8 @@
         }
         CellRuntime cell = choose(candidates);
         // The cancel handler and the request number are set in the same control loop task. Otherwise a caller that
-        // disconnects while its grant is in flight leaves the grant unused, and a worker slot stays empty for as long
-        // as
-        // the lease is renewed.
+        // disconnects while its grant is in flight leaves the grant unused, and a worker slot stays empty as long
+        // as the lease is renewed.
         AtomicLong askNumber = new AtomicLong();
         sink.onCancel(() -> loop.execute(() -> cell.cancel(askNumber.get(), loop.nowNanos())));
         askNumber.set(cell.ask(request, sink, loop.nowNanos()));
@@ -290,7 +289,7 @@
         store.inForce().ifPresent(this::refresh);
     }
 
-    /** Updates the cells. A cell removed from the configuration is kept without workers until its grants have ended. */
+    /** Updates the cells. A cell removed from the configuration is kept without workers for its remaining grants. */
     private void refresh(Configuration configuration) {
         Set<String> leaving = new HashSet<>();
         vms.vms().stream().filter(Vm::leaving).forEach(vm -> leaving.add(vm.name()));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/TermsCodec.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/cells/TermsCodec.java
@@ -88,7 +88,7 @@
                 .toByteArray();
     }
 
-    /** Decodes an observation. An empty or malformed observation means that the grant was not used. */
+    /** Decodes an observation. An empty observation means that the grant was not used; a malformed one is treated alike. */
     static Completion decodeObservation(byte[] bytes) {
         if (bytes.length == 0) {
             return UNUSED;
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcherTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/dispatch/ServiceDispatcherTest.java
@@ -21,9 +21,8 @@
     private final List<ServiceCall> calls = new ArrayList<>();
 
     // Regression test: a device between the daemon and both workers has dropped the state of all idle connections, so
-    // an
-    // attempt over a pooled connection times out. If the retry also used a pooled connection, it would time out at the
-    // second worker as well, and the call would fail although both workers are available.
+    // that an attempt over a pooled connection times out. If the retry also used a pooled connection, it would time out
+    // at the second worker as well, and the call would fail although both workers are available.
     @Test
     void retryAfterSilentConnectionUsesNewConnection() {
         ServiceAnswer answer = dispatch(call -> call.pooled()
@@ -34,9 +33,8 @@
         assertThat(calls).extracting(ServiceCall::address).doesNotHaveDuplicates();
     }
 
-    // A refusal by a full worker doesn't indicate a broken connection, and opening a new connection for each retry
-    // would
-    // add to the worker's load.
+    // A refusal by a full worker doesn't indicate a broken connection, and a new connection for each retry would add to
+    // the worker's load.
     @Test
     void retryAfterRefusalUsesPooledConnection() {
         ServiceAnswer answer = dispatch(call -> calls.size() == 1
@@ -47,13 +45,13 @@
     }
 
     private interface ReplyFunction {
-        ServiceReply reply(ServiceCall call);
+        ServiceReply to(ServiceCall call);
     }
 
     private ServiceAnswer dispatch(ReplyFunction replies) {
         PlainService service = call -> Mono.fromSupplier(() -> {
             calls.add(call);
-            return replies.reply(call);
+            return replies.to(call);
         });
         RequestClass check = RequestClass.builder()
                 .name("check")
