--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellRequest.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellRequest.java
@@ -5,7 +5,7 @@
 /**
  * A request for a worker of the cell.
  *
- * @param id id of the request, unique among those that are waiting or running in the cell
+ * @param id id of the request, unique among those that are queued or running in the cell
  * @param terms the service-level terms of the request's class
  * @param customer name of the customer that the request is accounted to
  * @param arrivalNanos monotonic time in nanoseconds at which a daemon received the request; a retry keeps it
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/CellScheduler.java
@@ -20,7 +20,7 @@
     List<CellEffect> offer(CellRequest request, long nowNanos);
 
     /**
-     * Removes a request from the queue that its caller no longer wants. Unknown ids are ignored.
+     * Removes a queued request because its caller no longer wants it. Unknown ids are ignored.
      *
      * @param requestId id of the request
      * @param nowNanos current monotonic time in nanoseconds
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/cell/TieredScheduler.java
@@ -183,7 +183,7 @@
                 return;
             }
             RequestQueue.Dequeued<String> next = dequeued.get();
-            effects.add(grant(next.queued(), next.place(), next.owed(), nowNanos));
+            effects.add(grant(next.queued(), next.place(), next.isMinimumShareGrant(), nowNanos));
         }
     }
 
@@ -231,12 +231,15 @@
         if (victim.isEmpty()) {
             return;
         }
-        RunningRequest stopped = victim.get();
-        effects.add(new CellEffect.Preempted(stopped.cellRequest().id(), stopped.grant()));
-        int tokens = stopped.outputTokens() - stopped.cellRequest().resumedTokens();
-        end(stopped, new Completion(Completion.End.CANCELLED, -1, nowNanos - stopped.grantedNanos(), tokens), nowNanos);
+        RunningRequest preempted = victim.get();
+        effects.add(new CellEffect.Preempted(preempted.cellRequest().id(), preempted.grant()));
+        int tokens = preempted.outputTokens() - preempted.cellRequest().resumedTokens();
+        end(
+                preempted,
+                new Completion(Completion.End.CANCELLED, -1, nowNanos - preempted.grantedNanos(), tokens),
+                nowNanos);
         queue.pollById(urgent.request().id());
-        effects.add(grant(urgent, stopped.worker(), false, nowNanos));
+        effects.add(grant(urgent, preempted.worker(), false, nowNanos));
     }
 
     /**
@@ -265,13 +268,14 @@
             return false;
         }
         boolean isLate = admission.latestStartNanos(request) <= nowNanos;
-        boolean hasRoom = queue.size() == 0 && placement.hasCapacity(nowNanos);
-        return isLate || !hasRoom && admission.isTooLate(request, workAhead, placement.slots(), nowNanos);
+        boolean canStartNow = queue.size() == 0 && placement.hasCapacity(nowNanos);
+        return isLate || !canStartNow && admission.isTooLate(request, workAhead, placement.slots(), nowNanos);
     }
 
-    private CellEffect grant(QueuedRequest queued, String worker, boolean owed, long nowNanos) {
+    private CellEffect grant(QueuedRequest queued, String worker, boolean isMinimumShareGrant, long nowNanos) {
         lastGrant++;
-        RunningRequest granted = new RunningRequest(lastGrant, candidate(queued), worker, owed, nowNanos);
+        RunningRequest granted =
+                new RunningRequest(lastGrant, candidate(queued), worker, isMinimumShareGrant, nowNanos);
         running.put(lastGrant, granted);
         chargedWork.put(lastGrant, queued.work());
         runningRequestIds.add(queued.request().id());
@@ -279,16 +283,16 @@
         return new CellEffect.Granted(queued.request().id(), lastGrant, worker);
     }
 
-    private void end(RunningRequest ended, Completion completion, long nowNanos) {
-        running.remove(ended.grant());
-        runningRequestIds.remove(ended.cellRequest().id());
-        double charged = chargedWork.remove(ended.grant());
-        placement.recordRelease(ended, completion, nowNanos);
-        CellRequest request = ended.cellRequest();
+    private void end(RunningRequest granted, Completion completion, long nowNanos) {
+        running.remove(granted.grant());
+        runningRequestIds.remove(granted.cellRequest().id());
+        double charged = chargedWork.remove(granted.grant());
+        placement.recordRelease(granted, completion, nowNanos);
+        CellRequest request = granted.cellRequest();
         boolean isAnswered = completion.end() == Completion.End.ANSWERED;
         // The answer of a plain service has no tokens, and counts as one unit of work.
         int tokens = isAnswered ? Math.max(1, completion.outputTokens()) : completion.outputTokens();
-        double actual = tokens > 0 ? ended.placementRequest().prefillWork() + tokens : 0;
+        double actual = tokens > 0 ? granted.placementRequest().prefillWork() + tokens : 0;
         queue.correctCharge(request.terms().name(), request.customer(), charged, actual);
         if (isAnswered) {
             estimator.observe(request.terms(), request.customer(), request.resumedTokens() + tokens);
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassAccount.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassAccount.java
@@ -4,7 +4,7 @@
  * Compares the work served for a class with its minimum share, as a credit in output tokens.
  *
  * <p>While a class has queued requests, it earns its minimum share of all work that the cell serves, and is debited for
- * the work that is served for it. It is owed service once its credit covers its largest request. It earns nothing while
+ * the work that is served for it. It counts as below its share once its credit covers its largest request. It earns nothing while
  * it has no queued requests; otherwise an idle class would accumulate credit and then monopolise the cell. Work that is
  * served in tier order is debited only down to a credit of zero; otherwise a class that was served well while there was
  * spare capacity would be penalised for it during the next overload.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/ClassQueue.java
@@ -112,11 +112,11 @@
      * others has a request that can be placed, debts are ignored.
      */
     <P> Optional<RequestQueue.Dequeued<P>> poll(
-            Function<QueuedRequest, Optional<P>> placer, boolean owed, long nowNanos) {
+            Function<QueuedRequest, Optional<P>> placer, boolean isMinimumShareGrant, long nowNanos) {
         skippedForDebt = false;
-        Optional<RequestQueue.Dequeued<P>> inOrder = poll(placer, owed, true, nowNanos);
+        Optional<RequestQueue.Dequeued<P>> inOrder = poll(placer, isMinimumShareGrant, true, nowNanos);
         boolean isDone = inOrder.isPresent() || !skippedForDebt;
-        return isDone ? inOrder : poll(placer, owed, false, nowNanos);
+        return isDone ? inOrder : poll(placer, isMinimumShareGrant, false, nowNanos);
     }
 
     /** Corrects the deficit of a customer when the actual cost of a request is known. */
@@ -128,7 +128,10 @@
     }
 
     private <P> Optional<RequestQueue.Dequeued<P>> poll(
-            Function<QueuedRequest, Optional<P>> placer, boolean owed, boolean skipsDebtors, long nowNanos) {
+            Function<QueuedRequest, Optional<P>> placer,
+            boolean isMinimumShareGrant,
+            boolean skipsDebtors,
+            long nowNanos) {
         int tries = Math.min(MAX_HEADS_TRIED, customers.size());
         for (int i = 0; i < tries; i++) {
             CustomerQueue queue = first();
@@ -142,7 +145,7 @@
             Optional<P> place = placer.apply(head);
             if (place.isPresent()) {
                 serve(queue, head, nowNanos);
-                return Optional.of(new RequestQueue.Dequeued<>(head, place.get(), owed));
+                return Optional.of(new RequestQueue.Dequeued<>(head, place.get(), isMinimumShareGrant));
             }
             moveToBack(queue);
         }
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/RequestQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/RequestQueue.java
@@ -11,10 +11,10 @@
      *
      * @param queued the request
      * @param place where it was placed
-     * @param owed whether its class was chosen because it was below its minimum share
+     * @param isMinimumShareGrant whether its class was chosen because it was below its minimum share
      * @param <P> type of the place
      */
-    record Dequeued<P>(QueuedRequest queued, P place, boolean owed) {}
+    record Dequeued<P>(QueuedRequest queued, P place, boolean isMinimumShareGrant) {}
 
     /**
      * Adds a request.
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/TieredQueue.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/queue/TieredQueue.java
@@ -19,14 +19,14 @@
  *
  * <p>Answers overload by urgent classes. Without tiers, interactive requests wait for batch work that was queued before
  * them; without minimum shares, batch work starves as long as the overload lasts. The order of service is: first the
- * classes that are owed their minimum share ({@link ClassAccount}), the one with the most credit relative to its share
+ * classes that are below their minimum share ({@link ClassAccount}), the one with the most credit relative to its share
  * first; then the highest tier with queued requests, and within it the class with the least work per weight (weighted
  * fair queueing by virtual time).
  *
  * <p>The shared capacity of {@link CellSettings#maxWaiting()} requests is strict: when it is exceeded, the newest
  * request of the lowest tier in it is shed, whichever request arrived last. Each class with a minimum share, configured
  * or by default, has {@link CellSettings#guaranteedWaiting()} additional places. No other class could use these, so
- * they reduce no one else's capacity. Without them, a minimum share would have no effect in a long overload, because
+ * they do not reduce the capacity of other classes. Without them, a minimum share would have no effect in a long overload, because
  * all requests of the class would be shed before they could be served. Memory is bounded by the shared capacity plus
  * the guaranteed places of all classes.
  */
@@ -90,7 +90,7 @@
         while (!candidates.isEmpty()) {
             ClassQueue queue = best(candidates);
             candidates.remove(queue);
-            Optional<Dequeued<P>> dequeued = queue.poll(placer, isOwed(queue), nowNanos);
+            Optional<Dequeued<P>> dequeued = queue.poll(placer, isBelowMinimumShare(queue), nowNanos);
             if (dequeued.isPresent()) {
                 QueuedRequest queued = dequeued.get().queued();
                 removeFromIndexes(queued);
@@ -225,10 +225,10 @@
     }
 
     private boolean isServedBefore(ClassQueue left, ClassQueue right) {
-        if (isOwed(left) != isOwed(right)) {
-            return isOwed(left);
+        if (isBelowMinimumShare(left) != isBelowMinimumShare(right)) {
+            return isBelowMinimumShare(left);
         }
-        if (isOwed(left)) {
+        if (isBelowMinimumShare(left)) {
             return left.account().credit() * share(right.terms())
                     > right.account().credit() * share(left.terms());
         }
@@ -242,7 +242,7 @@
         return left.account().virtualTime() < right.account().virtualTime();
     }
 
-    private boolean isOwed(ClassQueue queue) {
+    private boolean isBelowMinimumShare(ClassQueue queue) {
         return share(queue.terms()) > 0 && queue.account().credit() >= queue.quantum();
     }
 
--- a/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
+++ b/dotterelcourse-policy/src/main/java/org/dotterelcourse/policy/selection/EngineSelector.java
@@ -147,9 +147,8 @@
         ranked.sort(Comparator.comparingInt((WorkerLoad each) -> RankHash.hash(each.address()))
                 .thenComparing(WorkerLoad::id));
         EnginePartition.Range range = partition.range(prompt.latencyClass(), ranked.size());
-        // Ranks and partition must not depend on suspicions: processes suspect different engines at different times,
-        // and
-        // the preferred engines of every part would differ between them.
+        // Ranks and partition must not depend on suspicions. Processes suspect different engines at different times, so
+        // they would then disagree on the preferred engines of every part.
         List<String> preferred = preferredEngines(prompt, ranked.subList(range.from(), range.to()), anyHealthy);
         boolean cachedAnywhere = prompt.lastSharedPart()
                 .filter(part -> prefixes.isCachedAnywhere(part.id(), nowNanos))
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/RandomTrace.java
@@ -34,7 +34,7 @@
         FAILED
     }
 
-    final Map<String, CellRequest> waiting = new LinkedHashMap<>();
+    final Map<String, CellRequest> queued = new LinkedHashMap<>();
     final Map<String, End> ended = new HashMap<>();
     final Map<Long, CellEffect.Granted> grants = new LinkedHashMap<>();
     final Map<String, CellRequest> requests = new HashMap<>();
@@ -60,9 +60,9 @@
         for (int i = 0; i < steps; i++) {
             nowNanos += random.nextInt(20) * MILLI;
             step();
-            assertThat(scheduler.waitingCount()).isEqualTo(waiting.size());
-            assertThat(waiting.size()).isLessThanOrEqualTo(MAX_WAITING + CLASSES.size() * GUARANTEED);
-            assertThat(waiting.size() + ended.size() + grants.size()).isEqualTo(requests.size());
+            assertThat(scheduler.waitingCount()).isEqualTo(queued.size());
+            assertThat(queued.size()).isLessThanOrEqualTo(MAX_WAITING + CLASSES.size() * GUARANTEED);
+            assertThat(queued.size() + ended.size() + grants.size()).isEqualTo(requests.size());
         }
     }
 
@@ -104,7 +104,7 @@
     }
 
     private void offer(CellRequest request) {
-        waiting.put(request.id(), request);
+        queued.put(request.id(), request);
         requests.put(request.id(), request);
         carryOut(scheduler.offer(request, nowNanos));
     }
@@ -137,9 +137,9 @@
     }
 
     private void withdraw() {
-        if (!waiting.isEmpty()) {
-            String id = waiting.keySet().iterator().next();
-            waiting.remove(id);
+        if (!queued.isEmpty()) {
+            String id = queued.keySet().iterator().next();
+            queued.remove(id);
             ended.put(id, End.WITHDRAWN);
             carryOut(scheduler.withdraw(id, nowNanos));
         }
@@ -165,23 +165,23 @@
     }
 
     private void carryOut(List<CellEffect> effects) {
-        List<CellRequest> stopped = new ArrayList<>();
+        List<CellRequest> preemptedRequests = new ArrayList<>();
         for (int i = 0; i < effects.size(); i++) {
             if (effects.get(i) instanceof CellEffect.Granted granted) {
-                granted(granted);
+                applyGrant(granted);
             } else if (effects.get(i) instanceof CellEffect.Refused refused) {
-                refused(refused);
+                applyRefusal(refused);
             } else if (effects.get(i) instanceof CellEffect.Preempted preempted) {
-                stopped.add(preempted(preempted, (CellEffect.Granted) effects.get(i + 1)));
+                preemptedRequests.add(applyPreemption(preempted, (CellEffect.Granted) effects.get(i + 1)));
             }
         }
-        for (CellRequest request : stopped) {
+        for (CellRequest request : preemptedRequests) {
             offer(request);
         }
     }
 
-    private void granted(CellEffect.Granted granted) {
-        assertThat(waiting.remove(granted.requestId())).isNotNull();
+    private void applyGrant(CellEffect.Granted granted) {
+        assertThat(queued.remove(granted.requestId())).isNotNull();
         WorkerInfo worker = workers.get(granted.worker());
         assertThat(worker.leaving()).isFalse();
         assertThat(reportedLeaving).doesNotContain(worker.name());
@@ -192,8 +192,8 @@
         assertThat(running).isLessThanOrEqualTo(worker.concurrency());
     }
 
-    private void refused(CellEffect.Refused refused) {
-        CellRequest request = waiting.remove(refused.requestId());
+    private void applyRefusal(CellEffect.Refused refused) {
+        CellRequest request = queued.remove(refused.requestId());
         assertThat(ended.put(refused.requestId(), End.REFUSED)).isNull();
         assertThat(refused.retryAfterNanos()).isPositive();
         if (refused.reason() != RefusalReason.CELL_FULL) {
@@ -201,7 +201,7 @@
         }
         shedCount++;
         Map<String, Integer> lower = new HashMap<>();
-        for (CellRequest other : waiting.values()) {
+        for (CellRequest other : queued.values()) {
             if (other.terms().tier() > request.terms().tier()) {
                 lower.merge(other.terms().name(), 1, Integer::sum);
             }
@@ -212,22 +212,22 @@
         }
     }
 
-    private CellRequest preempted(CellEffect.Preempted preempted, CellEffect.Granted replacement) {
+    private CellRequest applyPreemption(CellEffect.Preempted preempted, CellEffect.Granted replacement) {
         preemptionCount++;
         assertThat(grants.remove(preempted.grant())).isNotNull();
-        CellRequest stopped = requests.get(preempted.requestId());
+        CellRequest original = requests.get(preempted.requestId());
         CellRequest urgent = requests.get(replacement.requestId());
-        assertThat(stopped.idempotent()).isTrue();
-        assertThat(stopped.terms().tier()).isGreaterThan(urgent.terms().tier());
+        assertThat(original.idempotent()).isTrue();
+        assertThat(original.terms().tier()).isGreaterThan(urgent.terms().tier());
         return new CellRequest(
-                stopped.id(),
-                stopped.terms(),
-                stopped.customer(),
-                stopped.arrivalNanos(),
-                stopped.inputTokens(),
-                stopped.prefix(),
+                original.id(),
+                original.terms(),
+                original.customer(),
+                original.arrivalNanos(),
+                original.inputTokens(),
+                original.prefix(),
                 true,
-                stopped.resumedTokens() + 1,
+                original.resumedTokens() + 1,
                 Set.of());
     }
 
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/cell/TieredSchedulerPropertyTest.java
@@ -73,22 +73,22 @@
         Random random = new Random(seed);
         ClassTerms terms = RandomTrace.CLASSES.get(2);
         Map<String, Double> work = new HashMap<>();
-        Map<String, Integer> waiting = new HashMap<>();
+        Map<String, Integer> queued = new HashMap<>();
         List<CellEffect> effects = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            int hotWaiting = waiting.merge("hot", 0, Integer::sum);
-            int quietWaiting = waiting.merge("quiet", 0, Integer::sum);
-            if (hotWaiting < 4) {
+            int hotQueued = queued.merge("hot", 0, Integer::sum);
+            int quietQueued = queued.merge("quiet", 0, Integer::sum);
+            if (hotQueued < 4) {
                 effects.addAll(scheduler.offer(request("hot", i, terms), i * MILLI));
-                waiting.merge("hot", 1, Integer::sum);
+                queued.merge("hot", 1, Integer::sum);
             }
-            if (quietWaiting < 3) {
+            if (quietQueued < 3) {
                 effects.addAll(scheduler.offer(request("quiet", i, terms), i * MILLI));
-                waiting.merge("quiet", 1, Integer::sum);
+                queued.merge("quiet", 1, Integer::sum);
             }
             CellEffect.Granted granted = (CellEffect.Granted) effects.remove(0);
             String customer = granted.requestId().split("-")[0];
-            waiting.merge(customer, -1, Integer::sum);
+            queued.merge(customer, -1, Integer::sum);
             int tokens = (customer.equals("hot") ? 500 : 50) + random.nextInt(20);
             // Requests are charged by estimate, so the shares are even only after the answer lengths have been
             // learned.
