--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayLoop.java
@@ -130,11 +130,11 @@
      * which shows how long the thread was busy.
      */
     private void recordLag(long dueNanos) {
-        long now = nowNanos();
+        long nowNanos = nowNanos();
         dueTimes.remove(dueNanos);
-        if (now - dueNanos >= lagNanos || now - lagMeasuredNanos > LAG_RETENTION_NANOS) {
-            lagNanos = now - dueNanos;
-            lagMeasuredNanos = now;
+        if (nowNanos - dueNanos >= lagNanos || nowNanos - lagMeasuredNanos > LAG_RETENTION_NANOS) {
+            lagNanos = nowNanos - dueNanos;
+            lagMeasuredNanos = nowNanos;
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/GatewayState.java
@@ -25,8 +25,8 @@
 import org.dotterelcourse.policy.selection.EnginePartition;
 
 /**
- * The gateway's view of the platform and the fleet: the active routing table, the workers, the retry budgets and what
- * was learned about engines and requests. Not thread-safe; used on the gateway's event loop only, except for {@link
+ * The gateway's view of the platform and the fleet: the active routing table, the workers, the retry budgets, and the
+ * learned state of engines and requests. Not thread-safe; used on the gateway's event loop only, except for {@link
  * #table} and {@link #isReady}.
  */
 public final class GatewayState implements Service {
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/fleet/FleetExchange.java
@@ -153,7 +153,7 @@
     }
 
     private void sendReports() {
-        long now = loop.nowNanos();
+        long nowNanos = loop.nowNanos();
         List<Member> view = peers.view();
         if (view != plannedView || plan == null) {
             plannedView = view;
@@ -167,17 +167,18 @@
                                     .toList(),
                             plan.readerCount());
             others = view.stream().filter(this::isOther).map(Member::name).toList();
-            state.workers().updateFleet(peers.self(), others, now);
+            state.workers().updateFleet(peers.self(), others, nowNanos);
             state.quarantine().scheduleReminders();
             state.workers().limits().scheduleReminders();
         }
         state.updateFleetSize(others.size() + 1);
         notices = new Notices(
-                state.quarantine().takeNotices(now), state.workers().limits().takeNotices(now));
+                state.quarantine().takeNotices(nowNanos),
+                state.workers().limits().takeNotices(nowNanos));
         if (plan.isDirect()) {
-            reportToAll(now);
+            reportToAll(nowNanos);
         } else {
-            reportByPlan(now);
+            reportByPlan(nowNanos);
         }
         long period = Math.max(MIN_DIRECT_PERIOD_MILLIS, DIRECT_PERIOD_MILLIS_PER_PEER * others.size());
         loop.runAtNextMultiple(plan.isDirect() ? period : COLLECTED_PERIOD_MILLIS, this::sendReports);
@@ -188,13 +189,13 @@
     }
 
     /** Reports to all processes, in a small fleet. */
-    private void reportToAll(long now) {
-        Map<Integer, PeerLoads.Load> own = state.workers().localLoads(now);
+    private void reportToAll(long nowNanos) {
+        Map<Integer, PeerLoads.Load> own = state.workers().localLoads(nowNanos);
         List<CachedPrefixes.PartLocation> locations = state.cachedPrefixes().drainUnreported();
-        if (!recordIfDue(ALL, own, locations, now)) {
+        if (!recordIfDue(ALL, own, locations, nowNanos)) {
             return;
         }
-        byte[] report = report(FleetProtos.LoadReport.Kind.OWN, own, "", locations, now);
+        byte[] report = report(FleetProtos.LoadReport.Kind.OWN, own, "", locations, nowNanos);
         plannedView.stream().filter(this::isOther).forEach(member -> send(member, report));
     }
 
@@ -203,43 +204,43 @@
             String receiver,
             Map<Integer, PeerLoads.Load> loads,
             List<CachedPrefixes.PartLocation> locations,
-            long now) {
+            long nowNanos) {
         SentReport last = lastSent.get(receiver);
         boolean due = last == null
                 || !locations.isEmpty()
                 || !notices.isEmpty()
-                || now - last.atNanos() >= UNCHANGED_PERIOD_MILLIS * NANOS_PER_MILLI
+                || nowNanos - last.atNanos() >= UNCHANGED_PERIOD_MILLIS * NANOS_PER_MILLI
                 || publications.followerElection().hasChangedSince(last.atNanos())
                 || !loads.equals(last.loads());
         if (due) {
-            lastSent.put(receiver, new SentReport(loads, now));
+            lastSent.put(receiver, new SentReport(loads, nowNanos));
         }
         return due;
     }
 
-    private void reportByPlan(long now) {
-        reporters.values().removeIf(lastReport -> now - lastReport > REPORT_TIMEOUT_MILLIS * NANOS_PER_MILLI);
+    private void reportByPlan(long nowNanos) {
+        reporters.values().removeIf(lastReport -> nowNanos - lastReport > REPORT_TIMEOUT_MILLIS * NANOS_PER_MILLI);
         List<CachedPrefixes.PartLocation> locations = state.cachedPrefixes().drainUnreported();
-        Optional<String> assigned = plan.collector(excludedCollectors(now));
+        Optional<String> assigned = plan.collector(excludedCollectors(nowNanos));
         if (assigned.isPresent()) {
-            Map<Integer, PeerLoads.Load> own = state.workers().localLoads(now);
-            if (recordIfDue(ALL, own, locations, now)) {
-                send(assigned.get(), report(FleetProtos.LoadReport.Kind.OWN, own, "", locations, now));
+            Map<Integer, PeerLoads.Load> own = state.workers().localLoads(nowNanos);
+            if (recordIfDue(ALL, own, locations, nowNanos)) {
+                send(assigned.get(), report(FleetProtos.LoadReport.Kind.OWN, own, "", locations, nowNanos));
             }
         }
         locations.addAll(reportedLocations);
         if (plan.isCollector()) {
-            Map<Integer, PeerLoads.Load> sum = state.workers().aggregatedLoads(now);
-            if (recordIfDue(COLLECTORS, sum, locations, now)) {
-                byte[] gathered = report(FleetProtos.LoadReport.Kind.GATHERED, sum, "", locations, now);
+            Map<Integer, PeerLoads.Load> sum = state.workers().aggregatedLoads(nowNanos);
+            if (recordIfDue(COLLECTORS, sum, locations, nowNanos)) {
+                byte[] gathered = report(FleetProtos.LoadReport.Kind.GATHERED, sum, "", locations, nowNanos);
                 plan.otherCollectors().forEach(other -> send(other, gathered));
             }
         }
         locations.addAll(gatheredLocations);
         for (String reporter : reporters.keySet()) {
-            Map<Integer, PeerLoads.Load> sum = state.workers().loadsExcluding(reporter, now);
-            if (recordIfDue(reporter, sum, locations, now)) {
-                send(reporter, report(FleetProtos.LoadReport.Kind.OTHERS, sum, reporter, locations, now));
+            Map<Integer, PeerLoads.Load> sum = state.workers().loadsExcluding(reporter, nowNanos);
+            if (recordIfDue(reporter, sum, locations, nowNanos)) {
+                send(reporter, report(FleetProtos.LoadReport.Kind.OTHERS, sum, reporter, locations, nowNanos));
             }
         }
         lastSent.keySet().removeIf(receiver -> !reporters.containsKey(receiver) && !RECEIVER_GROUPS.contains(receiver));
@@ -248,15 +249,16 @@
     }
 
     /** Returns the collectors to exclude for now. Excludes the assigned one if its reports have stopped. */
-    private Set<String> excludedCollectors(long now) {
-        excludedCollectors.values().removeIf(since -> now - since > EXCLUSION_MILLIS * NANOS_PER_MILLI);
+    private Set<String> excludedCollectors(long nowNanos) {
+        excludedCollectors.values().removeIf(since -> nowNanos - since > EXCLUSION_MILLIS * NANOS_PER_MILLI);
         String assigned = plan.collector(excludedCollectors.keySet()).orElse("");
         if (!assigned.equals(collector)) {
             collector = assigned;
-            lastCollectorReportNanos = now;
-        } else if (!assigned.isEmpty() && now - lastCollectorReportNanos > REPORT_TIMEOUT_MILLIS * NANOS_PER_MILLI) {
+            lastCollectorReportNanos = nowNanos;
+        } else if (!assigned.isEmpty()
+                && nowNanos - lastCollectorReportNanos > REPORT_TIMEOUT_MILLIS * NANOS_PER_MILLI) {
             LOG.infof("collector %s says nothing, reporting to another one", assigned);
-            excludedCollectors.put(assigned, now);
+            excludedCollectors.put(assigned, nowNanos);
         }
         return new HashSet<>(excludedCollectors.keySet());
     }
@@ -274,14 +276,14 @@
             Map<Integer, PeerLoads.Load> loads,
             String receiver,
             List<CachedPrefixes.PartLocation> locations,
-            long now) {
+            long nowNanos) {
         FleetProtos.LoadReport.Builder report = FleetProtos.LoadReport.newBuilder()
                 .setKind(kind)
                 .setRevision(publications.position().revision())
                 .setEra(publications.position().era())
                 .setWorkers(LoadCodec.encode(loads));
         for (StoreFollowerElection.Follower follower :
-                publications.followerElection().followers(now)) {
+                publications.followerElection().followers(nowNanos)) {
             report.addFollowers(follower.id())
                     .addFollowerAnswers(follower.answer())
                     .addFollowerMillis((int) follower.ageMillis());
@@ -309,7 +311,7 @@
     }
 
     private void receive(String peer, byte[] body) {
-        long now = loop.nowNanos();
+        long nowNanos = loop.nowNanos();
         FleetProtos.LoadReport report;
         Map<Integer, PeerLoads.Load> loads;
         Notices received;
@@ -324,16 +326,16 @@
         }
         PeerLoads.Scope scope = scope(report.getKind());
         if (scope == PeerLoads.Scope.OWN) {
-            reporters.put(peer, now);
+            reporters.put(peer, nowNanos);
         } else if (scope == PeerLoads.Scope.OTHERS && peer.equals(collector)) {
-            lastCollectorReportNanos = now;
+            lastCollectorReportNanos = nowNanos;
         }
-        state.workers().recordPeerLoads(peer, scope, loads, now);
-        received.crashes().forEach(crash -> state.applyCrashNotice(crash, now));
-        received.limits().forEach(limit -> state.applyLimitNotice(limit, peer, now));
-        recordWork(peer, scope, report, now);
-        recordLocations(scope, report, now);
-        recordFollowers(report, now);
+        state.workers().recordPeerLoads(peer, scope, loads, nowNanos);
+        received.crashes().forEach(crash -> state.applyCrashNotice(crash, nowNanos));
+        received.limits().forEach(limit -> state.applyLimitNotice(limit, peer, nowNanos));
+        recordWork(peer, scope, report, nowNanos);
+        recordLocations(scope, report, nowNanos);
+        recordFollowers(report, nowNanos);
         relay.recordPeerPosition(peer, new StorePosition(report.getEra(), report.getRevision()));
     }
 
@@ -345,7 +347,7 @@
         };
     }
 
-    private void recordWork(String peer, PeerLoads.Scope scope, FleetProtos.LoadReport report, long now) {
+    private void recordWork(String peer, PeerLoads.Scope scope, FleetProtos.LoadReport report, long nowNanos) {
         for (FleetProtos.UpstreamWork work : report.getUpstreamsList()) {
             double[] millis = work.getMillisByPaceList().stream()
                     .mapToDouble(Long::doubleValue)
@@ -354,18 +356,18 @@
                 boolean ownOnly = scope == PeerLoads.Scope.OWN;
                 String sender = scope == PeerLoads.Scope.OTHERS ? ANY_COLLECTOR : peer;
                 state.enginePartition(work.getUpstream())
-                        .recordPeerWork(sender, ownOnly, new LatencyClassWork(millis), now);
+                        .recordPeerWork(sender, ownOnly, new LatencyClassWork(millis), nowNanos);
             }
         }
     }
 
-    private void recordLocations(PeerLoads.Scope scope, FleetProtos.LoadReport report, long now) {
+    private void recordLocations(PeerLoads.Scope scope, FleetProtos.LoadReport report, long nowNanos) {
         boolean direct = plan == null || plan.isDirect();
         int count = Math.min(report.getPartsCount(), report.getPartWorkersCount());
         for (int i = 0; i < count; i++) {
             CachedPrefixes.PartLocation location =
                     new CachedPrefixes.PartLocation(report.getParts(i), report.getPartWorkers(i));
-            state.cachedPrefixes().recordPeerReport(location, now);
+            state.cachedPrefixes().recordPeerReport(location, nowNanos);
             if (!direct && scope == PeerLoads.Scope.OWN) {
                 reportedLocations.add(location);
             } else if (!direct && scope == PeerLoads.Scope.GATHERED) {
@@ -374,14 +376,14 @@
         }
     }
 
-    private void recordFollowers(FleetProtos.LoadReport report, long now) {
+    private void recordFollowers(FleetProtos.LoadReport report, long nowNanos) {
         int count = Math.min(
                 report.getFollowersCount(),
                 Math.min(report.getFollowerAnswersCount(), report.getFollowerMillisCount()));
         for (int i = 0; i < count; i++) {
             StoreFollowerElection.Follower follower = new StoreFollowerElection.Follower(
                     report.getFollowers(i), report.getFollowerAnswers(i), report.getFollowerMillis(i));
-            publications.followerElection().recordFollower(follower, now);
+            publications.followerElection().recordFollower(follower, nowNanos);
         }
     }
 
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/WorkerClient.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/forward/WorkerClient.java
@@ -53,7 +53,7 @@
                 .maxIdleTime(MAX_IDLE_TIME)
                 .lifo()
                 .build();
-        // By default, the client resends a request when its connection closes early, and a payout would run twice.
+        // By default, the client resends a request when its connection closes early; a payout would be executed twice.
         client = HttpClient.create(pool)
                 .runOn(loop.resources(), false)
                 .disableRetry(true)
@@ -92,9 +92,8 @@
     private static StreamedResponse toStreamedResponse(HttpClientResponse response, Connection connection) {
         int status = response.status().code();
         Runnable close = () -> connection.channel().close();
-        // A client that closes its connection after the response cancels this flux while its last signal is in flight,
-        // so
-        // the final signal does not show whether the body was complete.
+        // The final signal does not show whether the body was complete: a client that closes its connection right after
+        // the response cancels this flux before the signal arrives.
         AtomicBoolean isComplete = new AtomicBoolean();
         Flux<byte[]> body = connection
                 .inbound()
--- a/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/RateShareHolders.java
+++ b/dotterelcourse-gateway/src/main/java/org/dotterelcourse/gateway/workers/RateShareHolders.java
@@ -29,7 +29,7 @@
     private String self = "";
     private int stableSize;
     private long discoveryEndNanos;
-    private boolean fleetKnown;
+    private boolean membersReceived;
 
     /**
      * Updates the members of the fleet.
@@ -42,8 +42,8 @@
         self = ownName;
         others = List.copyOf(otherNames);
         ranks.clear();
-        if (!fleetKnown || processes() > DISCOVERY_GROWTH_FACTOR * stableSize) {
-            fleetKnown = true;
+        if (!membersReceived || processes() > DISCOVERY_GROWTH_FACTOR * stableSize) {
+            membersReceived = true;
             discoveryEndNanos = nowNanos + DISCOVERY_NANOS;
             stableSize = processes();
         }
@@ -57,7 +57,9 @@
 
     /** Returns whether this process is among the first {@code holders} processes in the ranking for a worker. */
     boolean includesSelf(String worker, int holders, long nowNanos) {
-        return fleetKnown && nowNanos - discoveryEndNanos >= 0 && ranks.computeIfAbsent(worker, this::rank) < holders;
+        return membersReceived
+                && nowNanos - discoveryEndNanos >= 0
+                && ranks.computeIfAbsent(worker, this::rank) < holders;
     }
 
     private int rank(String worker) {
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/WorkersTest.java
@@ -43,7 +43,7 @@
     void anEntryOfAnUnknownUpstreamDoesNotReplaceAWorker() {
         workers.configureUpstreams("u"::equals, upstream -> ColdStart.none());
         publish(entryStartedAt("a", 1_000, "u"));
-        publish(entryStartedAt("stray", 2_000, "nobody's"));
+        publish(entryStartedAt("stray", 2_000, "unknown"));
         assertThat(candidateIds()).containsExactly("a");
         workers.configureUpstreams(upstream -> true, upstream -> ColdStart.none());
         assertThat(candidateIds()).isEmpty();
