--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreErasTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/published/StoreErasTest.java
@@ -52,33 +52,33 @@
                         new ItemChange(item("a", 5, 1), true), new ItemChange(item("b", 7, 1), false));
     }
 
-    // One process reads the store. The other receives its changes in messages, some of which are lost, and requests a
+    // One process follows the store. The other receives its changes in messages, some of which are lost, and requests a
     // snapshot when it lags behind.
     @Property(seed = "20261203", tries = 300)
     void bothProcessesEndWithTheItemsOfTheStore(@ForAll long seed) {
         Random random = new Random(seed);
         Store store = new Store();
-        PublishedItems reader = new PublishedItems();
-        PublishedItems listener = new PublishedItems();
+        PublishedItems follower = new PublishedItems();
+        PublishedItems peer = new PublishedItems();
         for (int step = 0; step < 60; step++) {
             store.performRandomAction(random);
             if (random.nextInt(3) == 0) {
-                StorePosition before = reader.position();
-                List<ItemChange> changes = store.read(reader);
+                StorePosition before = follower.position();
+                List<ItemChange> changes = store.read(follower);
                 if (before.revision() > 0 && random.nextInt(4) > 0) {
-                    listener.merge(changes.stream().map(ItemChange::item).toList(), before, reader.position());
+                    peer.merge(changes.stream().map(ItemChange::item).toList(), before, follower.position());
                 }
             }
-            if (random.nextInt(8) == 0 && reader.position().isAfter(listener.position())) {
-                listener.mergeSnapshot(reader.live(), reader.position());
+            if (random.nextInt(8) == 0 && follower.position().isAfter(peer.position())) {
+                peer.mergeSnapshot(follower.live(), follower.position());
             }
         }
-        store.read(reader);
-        if (reader.position().isAfter(listener.position())) {
-            listener.mergeSnapshot(reader.live(), reader.position());
+        store.read(follower);
+        if (follower.position().isAfter(peer.position())) {
+            peer.mergeSnapshot(follower.live(), follower.position());
         }
-        assertThat(values(reader)).isEqualTo(store.values());
-        assertThat(values(listener)).isEqualTo(store.values());
+        assertThat(values(follower)).isEqualTo(store.values());
+        assertThat(values(peer)).isEqualTo(store.values());
     }
 
     /** A store with its history and a backup. */
@@ -107,13 +107,13 @@
         }
 
         /** Reads the changes by a long poll if the store has the history, else a snapshot. */
-        List<ItemChange> read(PublishedItems reader) {
-            StorePosition current = reader.position();
+        List<ItemChange> read(PublishedItems follower) {
+            StorePosition current = follower.position();
             if (current.era() == era) {
                 List<PublishedItem> changes = List.copyOf(history.subList((int) current.revision(), history.size()));
-                return reader.merge(changes, current, position());
+                return follower.merge(changes, current, position());
             }
-            return reader.mergeSnapshot(List.copyOf(liveItems().values()), position());
+            return follower.mergeSnapshot(List.copyOf(liveItems().values()), position());
         }
 
         private Map<String, PublishedItem> liveItems() {
--- a/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
+++ b/dotterelcourse-gateway/src/test/java/org/dotterelcourse/gateway/workers/ColdWorkersTest.java
@@ -61,13 +61,13 @@
         }
         publish(60_000, 0);
         for (int round = 0; round < 20; round++) {
-            long now = round * SECOND_NANOS / 10;
+            long nowNanos = round * SECOND_NANOS / 10;
             int discovered = Math.min(PROCESSES, 1 + round * round);
             for (int i = 0; i < PROCESSES; i++) {
                 int from = Math.min(i, PROCESSES - discovered);
-                fleet.get(i).updateFleet(name(i), without(names(from, from + discovered), name(i)), now);
+                fleet.get(i).updateFleet(name(i), without(names(from, from + discovered), name(i)), nowNanos);
             }
-            sendAsPermittedUntil(now + SECOND_NANOS / 10, now);
+            sendAsPermittedUntil(nowNanos + SECOND_NANOS / 10, nowNanos);
         }
         assertThat(maxRequestsInASecond()).isLessThanOrEqualTo(5);
         sendAsPermittedUntil(8 * SECOND_NANOS, 2 * SECOND_NANOS);
@@ -144,11 +144,11 @@
 
     /** Every 10 ms, each process sends a request if it is permitted to. */
     private void sendAsPermittedUntil(long untilNanos, long fromNanos) {
-        for (long now = fromNanos; now < untilNanos; now += 10 * MILLI_NANOS) {
+        for (long nowNanos = fromNanos; nowNanos < untilNanos; nowNanos += 10 * MILLI_NANOS) {
             for (Workers process : fleet) {
-                if (permission(process, now) != SendPermission.DENIED) {
-                    process.place(process.find("w").orElseThrow(), false, 0, now);
-                    sent.add(now);
+                if (permission(process, nowNanos) != SendPermission.DENIED) {
+                    process.place(process.find("w").orElseThrow(), false, 0, nowNanos);
+                    sent.add(nowNanos);
                 }
             }
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/placement/CellPlacementTest.java
@@ -190,14 +190,14 @@
         for (WorkerInfo worker : workers(4)) {
             all.add(grant(request(0, 2), worker.name(), 0));
         }
-        for (long now = 0; now <= 4 * SECOND; now += 20 * MILLI) {
+        for (long nowNanos = 0; nowNanos <= 4 * SECOND; nowNanos += 20 * MILLI) {
             for (RunningRequest running : all) {
                 long interval = running.worker().equals("llm-1") ? firstWorkerTokenIntervalNanos : tokenIntervalNanos;
                 if (interval > 0) {
-                    placement.recordProgress(running, (int) (now / interval), false, now);
+                    placement.recordProgress(running, (int) (nowNanos / interval), false, nowNanos);
                 }
             }
-            placement.advance(now);
+            placement.advance(nowNanos);
         }
         for (RunningRequest running : all) {
             placement.recordRelease(running, new Completion(Completion.End.CANCELLED, -1, 1, 0), 4 * SECOND);
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/quarantine/RequestQuarantineTest.java
@@ -119,14 +119,14 @@
     void sendsTheRequestsInQuarantineToAProcessThatStartsLater() {
         crash(REQUEST, 1, START);
         crash(REQUEST, 2, START + SECOND);
-        long now = START + 60 * SECOND;
+        long nowNanos = START + 60 * SECOND;
         for (int i = 0; i < 10; i++) {
             quarantine.takeNotices(START + (2 + i) * SECOND);
         }
         RequestQuarantine startedLater = new RequestQuarantine();
-        List<CrashNotice> reminders = quarantine.takeNotices(now);
-        reminders.forEach(notice -> startedLater.applyNotice(notice, now));
-        assertThat(startedLater.verdict(REQUEST, now)).isInstanceOf(Verdict.Quarantined.class);
+        List<CrashNotice> reminders = quarantine.takeNotices(nowNanos);
+        reminders.forEach(notice -> startedLater.applyNotice(notice, nowNanos));
+        assertThat(startedLater.verdict(REQUEST, nowNanos)).isInstanceOf(Verdict.Quarantined.class);
     }
 
     @Test
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/RateShareTest.java
@@ -44,10 +44,10 @@
         RateShare share = RateShare.ofPeak(perSecond, processes);
         SlidingWindowLog log = new SlidingWindowLog();
         List<Long> sent = new ArrayList<>();
-        for (long now = 0; now < 12 * SECOND; now += intervalMillis * 1_000_000L) {
-            if (log.allows(share, now)) {
-                log.recordRequest(now);
-                sent.add(now);
+        for (long nowNanos = 0; nowNanos < 12 * SECOND; nowNanos += intervalMillis * 1_000_000L) {
+            if (log.allows(share, nowNanos)) {
+                log.recordRequest(nowNanos);
+                sent.add(nowNanos);
             }
         }
         assertThat(sent).isNotEmpty();
@@ -78,10 +78,12 @@
         List<Long> sentByAll = new ArrayList<>();
         for (int holder = 0; holder < share.holders(); holder++) {
             SlidingWindowLog log = new SlidingWindowLog();
-            for (long now = random.nextInt(3_000) * SECOND / 1_000; now < 15 * SECOND; now += 20_000_000L) {
-                if (log.allows(share, now)) {
-                    log.recordRequest(now);
-                    sentByAll.add(now);
+            for (long nowNanos = random.nextInt(3_000) * SECOND / 1_000;
+                    nowNanos < 15 * SECOND;
+                    nowNanos += 20_000_000L) {
+                if (log.allows(share, nowNanos)) {
+                    log.recordRequest(nowNanos);
+                    sentByAll.add(nowNanos);
                 }
             }
         }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/rate/WorkerLimitsTest.java
@@ -33,8 +33,8 @@
         assertThat(limits.updateFromWorker(WORKER, LIMIT, 0)).isTrue();
         assertThat(limits.updateFromWorker(WORKER, LIMIT, MILLI)).isFalse();
         int sends = 0;
-        for (long now = 0; now < SECOND; now += 100 * MILLI) {
-            sends += limits.takeNotices(now).isEmpty() ? 0 : 1;
+        for (long nowNanos = 0; nowNanos < SECOND; nowNanos += 100 * MILLI) {
+            sends += limits.takeNotices(nowNanos).isEmpty() ? 0 : 1;
         }
         assertThat(sends).isEqualTo(3);
         assertThat(limits.takeNotices(2 * SECOND)).hasSize(1);
@@ -88,15 +88,15 @@
         List<WorkerLimits> fleet = List.of(new WorkerLimits(), new WorkerLimits(), new WorkerLimits());
         List<Message> inFlight = new ArrayList<>();
         OptionalDouble expected = NONE;
-        for (long now = 0; now < 20 * SECOND; now += 50 * MILLI) {
-            if (now < 10 * SECOND && now % SECOND == 0) {
+        for (long nowNanos = 0; nowNanos < 20 * SECOND; nowNanos += 50 * MILLI) {
+            if (nowNanos < 10 * SECOND && nowNanos % SECOND == 0) {
                 WorkerLimits process = fleet.get(random.nextInt(3));
                 OptionalDouble limit = random.nextBoolean() ? NONE : OptionalDouble.of(1 + random.nextInt(3));
                 boolean isRelevant = limit.isPresent() || process.limit(WORKER).isPresent();
-                process.updateFromWorker(WORKER, limit, now);
+                process.updateFromWorker(WORKER, limit, nowNanos);
                 expected = isRelevant ? limit : expected;
             }
-            exchange(fleet, inFlight, random, now);
+            exchange(fleet, inFlight, random, nowNanos);
         }
         for (WorkerLimits process : fleet) {
             assertThat(process.limit(WORKER)).isEqualTo(expected);
@@ -105,16 +105,16 @@
 
     private record Message(int to, LimitNotice notice, long atNanos) {}
 
-    private static void exchange(List<WorkerLimits> fleet, List<Message> inFlight, Random random, long now) {
+    private static void exchange(List<WorkerLimits> fleet, List<Message> inFlight, Random random, long nowNanos) {
         inFlight.stream()
-                .filter(message -> message.atNanos() <= now)
-                .forEach(message -> fleet.get(message.to()).updateFromPeer(message.notice(), now));
-        inFlight.removeIf(message -> message.atNanos() <= now);
+                .filter(message -> message.atNanos() <= nowNanos)
+                .forEach(message -> fleet.get(message.to()).updateFromPeer(message.notice(), nowNanos));
+        inFlight.removeIf(message -> message.atNanos() <= nowNanos);
         for (int from = 0; from < fleet.size(); from++) {
-            for (LimitNotice notice : fleet.get(from).takeNotices(now)) {
+            for (LimitNotice notice : fleet.get(from).takeNotices(nowNanos)) {
                 for (int to = 0; to < fleet.size(); to++) {
                     if (to != from && random.nextInt(4) > 0) {
-                        inFlight.add(new Message(to, notice, now + random.nextInt(20) * MILLI));
+                        inFlight.add(new Message(to, notice, nowNanos + random.nextInt(20) * MILLI));
                     }
                 }
             }
--- a/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
+++ b/dotterelcourse-policy/src/test/java/org/dotterelcourse/policy/repeat/WindowedRetryBudgetTest.java
@@ -30,16 +30,16 @@
         }
         List<Long> requests = new ArrayList<>();
         List<Long> retries = new ArrayList<>();
-        long now = 0;
+        long nowNanos = 0;
         for (int i = 0; i < gapsMillis.size(); i++) {
-            now += gapsMillis.get(i) * 1_000_000L;
+            nowNanos += gapsMillis.get(i) * 1_000_000L;
             WindowedRetryBudget budget = fleet.get(i * 7 % processes);
-            budget.recordRequest(now);
-            requests.add(now);
-            while (budget.tryAcquire(now)) {
-                retries.add(now);
+            budget.recordRequest(nowNanos);
+            requests.add(nowNanos);
+            while (budget.tryAcquire(nowNanos)) {
+                retries.add(nowNanos);
             }
-            long windowStart = now - 10 * SECOND;
+            long windowStart = nowNanos - 10 * SECOND;
             long retriesInWindow =
                     retries.stream().filter(at -> at >= windowStart).count();
             long requestsInWindow =
