--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Change.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Change.java
@@ -1,11 +1,11 @@
 package org.dotterelcourse.configuration;
 
 /**
- * One key that differs between two configurations.
+ * A key whose value differs between two configurations.
  *
- * @param section the header of the section that it stands in, as in {@code class chat}
- * @param key the key
- * @param before its value before, empty if it was not there
- * @param after its value after, empty if it is not there any more
+ * @param section the header of the section that contains the key, for example {@code class chat}
+ * @param key the name of the key
+ * @param before the previous value, empty if the key was absent
+ * @param after the new value, empty if the key is absent
  */
 public record Change(String section, String key, String before, String after) {}
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Checked.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Checked.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * The outcome of reading a text: its value, or everything that is wrong with it.
+ * The result of parsing and validating a text: the parsed value, or all validation findings.
  *
- * @param <T> what the text holds
+ * @param <T> the type of the parsed value
  */
 public sealed interface Checked<T> {
     /**
-     * The text is right.
+     * The text is valid.
      *
-     * @param value what it holds
-     * @param <T> the value's type
+     * @param value the parsed value
+     * @param <T> the type of the parsed value
      */
     record Valid<T>(T value) implements Checked<T> {}
 
     /**
-     * The text is wrong; nothing of it is used.
+     * The text is invalid and none of it takes effect.
      *
-     * @param findings what is wrong, in the order of the text, never empty
-     * @param <T> the type that a right text would have had
+     * @param findings all validation errors in document order, never empty
+     * @param <T> the type of the value that a valid text yields
      */
     record Invalid<T>(List<Finding> findings) implements Checked<T> {}
 }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/ClassSection.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/ClassSection.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** {@code [class NAME]}: a request class. */
+/** Reads and writes {@code [class NAME]} sections, which define request classes. */
 final class ClassSection implements SectionKind<RequestClass> {
     static final String UPSTREAM = "upstream";
     static final String MODEL = "model";
@@ -17,14 +17,14 @@
     static final String MAX_WAITING = "max-waiting";
     static final String MAX_OUTPUT_TOKENS = "max-output-tokens";
 
-    private static final Value<Long> TIER_VALUE = Value.integer(1, 4);
-    private static final Value<Long> TARGET_MILLIS = Value.integer(1, 86_400_000);
-    private static final Value<Long> INTERVAL_MILLIS = Value.integer(0, 60_000);
-    private static final Value<Double> SHARE = Value.decimal(0, 1);
-    private static final Value<Long> WAITING = Value.integer(1, 1_000_000);
-    private static final Value<Long> TOKENS = Value.integer(1, 1_000_000);
-    private static final long DEFAULT_WAITING = 1_000;
-    private static final long DEFAULT_TOKENS = 1_024;
+    private static final ValueType<Long> TIER_TYPE = ValueType.integer(1, 4);
+    private static final ValueType<Long> TARGET_TYPE = ValueType.integer(1, 86_400_000);
+    private static final ValueType<Long> TOKEN_INTERVAL_TYPE = ValueType.integer(0, 60_000);
+    private static final ValueType<Double> MINIMUM_SHARE_TYPE = ValueType.decimal(0, 1);
+    private static final ValueType<Long> MAX_WAITING_TYPE = ValueType.integer(1, 1_000_000);
+    private static final ValueType<Long> MAX_OUTPUT_TOKENS_TYPE = ValueType.integer(1, 1_000_000);
+    private static final long DEFAULT_MAX_WAITING = 1_000;
+    private static final long DEFAULT_MAX_OUTPUT_TOKENS = 1_024;
 
     private static final List<String> KEYS = List.of(
             UPSTREAM,
@@ -40,7 +40,7 @@
             MAX_OUTPUT_TOKENS);
 
     @Override
-    public String word() {
+    public String kindName() {
         return "class";
     }
 
@@ -51,31 +51,31 @@
 
     @Override
     public RequestClass read(SectionReader in) {
-        String upstream = in.required(UPSTREAM, Value.NAMED);
-        String model = in.optional(MODEL, Value.MODEL_NAME, "");
-        String version = in.optional(VERSION, Value.MODEL_NAME, "");
-        int tier = in.required(TIER, TIER_VALUE).intValue();
-        long target = in.required(TARGET, TARGET_MILLIS);
-        long interval = in.optional(TOKEN_INTERVAL, INTERVAL_MILLIS, 0L);
-        boolean idempotent = in.required(IDEMPOTENT, Value.BOOLEAN);
-        boolean lateIsUseless = in.optional(LATE_IS_USELESS, Value.BOOLEAN, false);
-        double share = in.optional(MINIMUM_SHARE, SHARE, 0.0);
-        long waiting = in.optional(MAX_WAITING, WAITING, DEFAULT_WAITING);
-        long fewest = model.isEmpty() ? 1 : DEFAULT_TOKENS;
-        long tokens = in.optional(MAX_OUTPUT_TOKENS, TOKENS, fewest);
+        String upstream = in.required(UPSTREAM, ValueType.NAME);
+        String model = in.optional(MODEL, ValueType.MODEL_NAME, "");
+        String version = in.optional(VERSION, ValueType.MODEL_NAME, "");
+        int tier = in.required(TIER, TIER_TYPE).intValue();
+        long targetMillis = in.required(TARGET, TARGET_TYPE);
+        long tokenIntervalMillis = in.optional(TOKEN_INTERVAL, TOKEN_INTERVAL_TYPE, 0L);
+        boolean idempotent = in.required(IDEMPOTENT, ValueType.BOOLEAN);
+        boolean lateIsUseless = in.optional(LATE_IS_USELESS, ValueType.BOOLEAN, false);
+        double minimumShare = in.optional(MINIMUM_SHARE, MINIMUM_SHARE_TYPE, 0.0);
+        long maxWaiting = in.optional(MAX_WAITING, MAX_WAITING_TYPE, DEFAULT_MAX_WAITING);
+        long defaultMaxOutputTokens = model.isEmpty() ? 1 : DEFAULT_MAX_OUTPUT_TOKENS;
+        long maxOutputTokens = in.optional(MAX_OUTPUT_TOKENS, MAX_OUTPUT_TOKENS_TYPE, defaultMaxOutputTokens);
         return new RequestClass(
                 in.name(),
                 upstream,
                 model,
                 version,
                 tier,
-                target,
-                interval,
+                targetMillis,
+                tokenIntervalMillis,
                 idempotent,
                 lateIsUseless,
-                share,
-                (int) waiting,
-                (int) tokens);
+                minimumShare,
+                (int) maxWaiting,
+                (int) maxOutputTokens);
     }
 
     @Override
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/ConfigurationDifference.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/ConfigurationDifference.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Finds what differs between two configurations, key by key. */
+/** Compares two configurations key by key. */
 public final class ConfigurationDifference {
     private ConfigurationDifference() {}
 
     /**
-     * Compares two configurations. Their numbers have no part in it.
+     * Compares two configurations, ignoring their numbers.
      *
-     * @param before the one in force
-     * @param after the one that would be
-     * @return the changes, in the order of the canonical text
+     * @param before the configuration in force
+     * @param after the proposed configuration
+     * @return the keys with different values, in the order of the canonical text
      */
     public static List<Change> between(Configuration before, Configuration after) {
         List<Change> changes = new ArrayList<>();
@@ -29,16 +29,16 @@
     }
 
     private static <T> void compare(SectionKind<T> kind, List<T> before, List<T> after, List<Change> changes) {
-        Map<String, T> old = byName(kind, before);
-        Map<String, T> current = byName(kind, after);
-        Set<String> names = new LinkedHashSet<>(old.keySet());
-        names.addAll(current.keySet());
+        Map<String, T> beforeByName = byName(kind, before);
+        Map<String, T> afterByName = byName(kind, after);
+        Set<String> names = new LinkedHashSet<>(beforeByName.keySet());
+        names.addAll(afterByName.keySet());
         for (String name : names) {
-            T left = old.get(name);
-            T right = current.get(name);
-            boolean same = left != null && left.equals(right);
+            T oldValue = beforeByName.get(name);
+            T newValue = afterByName.get(name);
+            boolean same = oldValue != null && oldValue.equals(newValue);
             if (!same) {
-                compareKeys(kind, name, entries(kind, left), entries(kind, right), changes);
+                compareKeys(kind, name, entries(kind, oldValue), entries(kind, newValue), changes);
             }
         }
     }
@@ -50,18 +50,18 @@
             Map<String, String> after,
             List<Change> changes) {
         for (String key : kind.keys()) {
-            String left = before.getOrDefault(key, "");
-            String right = after.getOrDefault(key, "");
-            if (!left.equals(right)) {
-                changes.add(new Change(kind.word() + " " + name, key, left, right));
+            String oldValue = before.getOrDefault(key, "");
+            String newValue = after.getOrDefault(key, "");
+            if (!oldValue.equals(newValue)) {
+                changes.add(new Change(kind.kindName() + " " + name, key, oldValue, newValue));
             }
         }
     }
 
     private static <T> Map<String, T> byName(SectionKind<T> kind, List<T> records) {
-        Map<String, T> map = new LinkedHashMap<>();
-        records.forEach(each -> map.put(kind.name(each), each));
-        return map;
+        Map<String, T> byName = new LinkedHashMap<>();
+        records.forEach(each -> byName.put(kind.name(each), each));
+        return byName;
     }
 
     private static <T> Map<String, String> entries(SectionKind<T> kind, T value) {
@@ -78,9 +78,9 @@
                 .toList();
     }
 
-    private static List<PlacedWorker> workers(Configuration configuration) {
+    private static List<UpstreamWorker> workers(Configuration configuration) {
         return configuration.upstreams().stream()
-                .flatMap(upstream -> upstream.workers().stream().map(each -> new PlacedWorker(upstream.name(), each)))
+                .flatMap(upstream -> upstream.workers().stream().map(each -> new UpstreamWorker(upstream.name(), each)))
                 .toList();
     }
 }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/ConfigurationText.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/ConfigurationText.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * Writes a configuration as its canonical text: INI, sections in the order classes, customers, upstreams and by
- * name, an upstream's workers after it, every key that has a value, one blank on either side of the equals sign.
+ * Renders a configuration as canonical INI text. Sections appear in the order classes, customers, upstreams, sorted by
+ * name within each kind; the workers of an upstream follow it. Every key that has a value is written, with one space on
+ * either side of the equals sign.
  */
 public final class ConfigurationText {
     private static final ClassSection CLASS = new ClassSection();
@@ -16,50 +17,50 @@
     private static final UpstreamSection UPSTREAM = new UpstreamSection();
     private static final WorkerSection WORKER = new WorkerSection();
 
-    private static final int USUAL_SECTION_LENGTH = 300;
+    private static final int EXPECTED_SECTION_LENGTH_CHARS = 300;
 
     private ConfigurationText() {}
 
     /**
-     * Writes a configuration.
+     * Renders a configuration.
      *
-     * @param configuration the configuration
-     * @return a whole document; equal content gives equal text
+     * @param configuration the configuration to render
+     * @return the complete document; equal content gives equal text
      */
     public static String render(Configuration configuration) {
-        int sections =
+        int sectionCount =
                 configuration.classes().size() + configuration.customers().size();
-        StringBuilder text = new StringBuilder(sections * USUAL_SECTION_LENGTH);
+        StringBuilder text = new StringBuilder(sectionCount * EXPECTED_SECTION_LENGTH_CHARS);
         configuration.classes().forEach(each -> append(text, CLASS, each));
         configuration.customers().forEach(each -> append(text, CUSTOMER, each));
-        configuration.upstreams().forEach(each -> text.append(withWorkers(each)));
+        configuration.upstreams().forEach(each -> text.append(upstreamText(each)));
         return text.toString();
     }
 
     /**
-     * Gives a configuration the digest of its content: the SHA-256 over the SHA-256 sums of the canonical texts of its
-     * classes, customers and upstreams, the workers' sections following their upstream's.
+     * Computes the digest of a configuration: the SHA-256 over the SHA-256 digests of the canonical texts of its
+     * classes, customers and upstreams. The text of an upstream includes the sectionCount of its workers.
      *
-     * @param content the configuration; its digest has no part in the result
-     * @param base a configuration whose sums are used for what is equal in both, or null
-     * @return the same content with its digest
+     * @param content the configuration; its current digest is ignored
+     * @param base a configuration whose record digests are reused for equal records, or null
+     * @return the same content with the computed digest
      */
     static Configuration withDigest(Configuration content, Configuration base) {
-        SectionSums<RequestClass> classes = SectionSums.of(
+        SectionDigests<RequestClass> classes = SectionDigests.of(
                 content.classes(),
-                base == null ? null : IndexedList.sums(base.classes()),
+                base == null ? null : IndexedList.digests(base.classes()),
                 CLASS::name,
-                each -> text(CLASS, each));
-        SectionSums<Customer> customers = SectionSums.of(
+                each -> sectionText(CLASS, each));
+        SectionDigests<Customer> customers = SectionDigests.of(
                 content.customers(),
-                base == null ? null : IndexedList.sums(base.customers()),
+                base == null ? null : IndexedList.digests(base.customers()),
                 CUSTOMER::name,
-                each -> text(CUSTOMER, each));
-        SectionSums<Upstream> upstreams = SectionSums.of(
+                each -> sectionText(CUSTOMER, each));
+        SectionDigests<Upstream> upstreams = SectionDigests.of(
                 content.upstreams(),
-                base == null ? null : IndexedList.sums(base.upstreams()),
+                base == null ? null : IndexedList.digests(base.upstreams()),
                 UPSTREAM::name,
-                ConfigurationText::withWorkers);
+                ConfigurationText::upstreamText);
         MessageDigest digest = newDigest();
         classes.addTo(digest);
         customers.addTo(digest);
@@ -67,15 +68,15 @@
         return new Configuration(
                 content.number(),
                 HexFormat.of().formatHex(digest.digest()),
-                IndexedList.of(content.classes(), List.of()).withSums(classes),
-                IndexedList.of(content.customers(), List.of()).withSums(customers),
-                IndexedList.of(content.upstreams(), List.of()).withSums(upstreams));
+                IndexedList.of(content.classes(), List.of()).withDigests(classes),
+                IndexedList.of(content.customers(), List.of()).withDigests(customers),
+                IndexedList.of(content.upstreams(), List.of()).withDigests(upstreams));
     }
 
     /**
-     * The SHA-256 of a text in UTF-8, as customers' bearer keys are stored.
+     * Computes the SHA-256 of a text in UTF-8. Customers' bearer keys are stored in this form.
      *
-     * @param text the text
+     * @param text the text to hash, for example a bearer key
      * @return 64 lower-case hexadecimal digits
      */
     public static String sha256(String text) {
@@ -90,22 +91,22 @@
         }
     }
 
-    private static <T> String text(SectionKind<T> kind, T value) {
+    private static <T> String sectionText(SectionKind<T> kind, T value) {
         StringBuilder text = new StringBuilder();
         append(text, kind, value);
         return text.toString();
     }
 
-    private static String withWorkers(Upstream upstream) {
+    private static String upstreamText(Upstream upstream) {
         StringBuilder text = new StringBuilder();
         append(text, UPSTREAM, upstream);
-        upstream.workers().forEach(each -> append(text, WORKER, new PlacedWorker(upstream.name(), each)));
+        upstream.workers().forEach(each -> append(text, WORKER, new UpstreamWorker(upstream.name(), each)));
         return text.toString();
     }
 
     private static <T> void append(StringBuilder text, SectionKind<T> kind, T value) {
         text.append('[')
-                .append(kind.word())
+                .append(kind.kindName())
                 .append(' ')
                 .append(kind.name(value))
                 .append("]\n");
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Customer.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Customer.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A customer: who may call, for what, and how much.
+ * A customer with its credentials, the request classes it may use and its rate limits.
  *
  * @param name the customer's name, unique in the document
- * @param keySha256 the SHA-256 of its bearer key, lower-case hexadecimal
- * @param classes the classes it may use
- * @param defaultClass the class of a request that names none
- * @param requestsPerSecond its budget of requests over the whole fleet
- * @param tokensPerSecond its budget of input and output tokens over the whole fleet
+ * @param keySha256 the SHA-256 of the bearer key as lower-case hexadecimal digits
+ * @param classes the names of the request classes that the customer may use
+ * @param defaultClass the request class used for requests that do not specify one
+ * @param requestsPerSecond the rate limit across the whole fleet, in requests per second
+ * @param tokensPerSecond the rate limit across the whole fleet, in input plus output tokens per second
  */
 public record Customer(
         String name,
@@ -19,21 +19,21 @@
         String defaultClass,
         double requestsPerSecond,
         double tokensPerSecond) {
-    /** Keeps a copy of the list of classes. */
+    /** Copies the list of classes. */
     public Customer {
         classes = List.copyOf(classes);
     }
 
     /**
-     * Starts a customer.
+     * Creates a builder for a customer.
      *
-     * @return a builder
+     * @return a new builder
      */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Builds a customer component by component; what is left out keeps its default. Checks nothing. */
+    /** Builds a customer. Components that are not set keep their defaults; values are not validated. */
     public static final class Builder {
         private String name;
         private String keySha256;
@@ -58,7 +58,7 @@
         /**
          * Sets {@link Customer#keySha256()}.
          *
-         * @param value the SHA-256 of its bearer key, lower-case hexadecimal
+         * @param value the SHA-256 of the bearer key as lower-case hexadecimal digits
          * @return this builder
          */
         public Builder keySha256(String value) {
@@ -69,7 +69,7 @@
         /**
          * Sets {@link Customer#classes()}.
          *
-         * @param value the classes it may use
+         * @param value the names of the request classes that the customer may use
          * @return this builder
          */
         public Builder classes(List<String> value) {
@@ -80,7 +80,7 @@
         /**
          * Sets {@link Customer#defaultClass()}.
          *
-         * @param value the class of a request that names none
+         * @param value the request class used for requests that do not specify one
          * @return this builder
          */
         public Builder defaultClass(String value) {
@@ -91,7 +91,7 @@
         /**
          * Sets {@link Customer#requestsPerSecond()}.
          *
-         * @param value its budget of requests over the whole fleet
+         * @param value the rate limit across the whole fleet, in requests per second
          * @return this builder
          */
         public Builder requestsPerSecond(double value) {
@@ -102,7 +102,7 @@
         /**
          * Sets {@link Customer#tokensPerSecond()}.
          *
-         * @param value its budget of input and output tokens over the whole fleet
+         * @param value the rate limit across the whole fleet, in input plus output tokens per second
          * @return this builder
          */
         public Builder tokensPerSecond(double value) {
@@ -111,7 +111,7 @@
         }
 
         /**
-         * Ends the building.
+         * Builds the record from the values set so far, without validating them.
          *
          * @return the customer
          */
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/CustomerSection.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/CustomerSection.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** {@code [customer NAME]}: a customer. */
+/** Reads and writes {@code [customer NAME]} sections, which define customers. */
 final class CustomerSection implements SectionKind<Customer> {
     static final String KEY_SHA256 = "key-sha256";
     static final String CLASSES = "classes";
@@ -11,13 +11,13 @@
     static final String REQUESTS_PER_SECOND = "requests-per-second";
     static final String TOKENS_PER_SECOND = "tokens-per-second";
 
-    private static final Value<Double> RATE = Value.decimal(0.001, 1_000_000_000);
+    private static final ValueType<Double> RATE_TYPE = ValueType.decimal(0.001, 1_000_000_000);
 
     private static final List<String> KEYS =
             List.of(KEY_SHA256, CLASSES, DEFAULT_CLASS, REQUESTS_PER_SECOND, TOKENS_PER_SECOND);
 
     @Override
-    public String word() {
+    public String kindName() {
         return "customer";
     }
 
@@ -30,11 +30,11 @@
     public Customer read(SectionReader in) {
         return new Customer(
                 in.name(),
-                in.required(KEY_SHA256, Value.DIGEST),
-                in.required(CLASSES, Value.NAMES),
-                in.required(DEFAULT_CLASS, Value.NAMED),
-                in.required(REQUESTS_PER_SECOND, RATE),
-                in.required(TOKENS_PER_SECOND, RATE));
+                in.required(KEY_SHA256, ValueType.DIGEST),
+                in.required(CLASSES, ValueType.NAMES),
+                in.required(DEFAULT_CLASS, ValueType.NAME),
+                in.required(REQUESTS_PER_SECOND, RATE_TYPE),
+                in.required(TOKENS_PER_SECOND, RATE_TYPE));
     }
 
     @Override
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/DaemonSettings.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/DaemonSettings.java
@@ -3,22 +3,22 @@
 import java.time.Duration;
 
 /**
- * The settings of one daemon process, from its INI file.
+ * The settings of one daemon process, read from its INI file.
  *
  * @param name the VM's name, unique in the fleet
- * @param address the IP number that it listens on and tells others
- * @param dataCentre its data centre
- * @param region its region
- * @param callersPort TCP port for callers, 0 for any free one
- * @param operatorsPort TCP port for operators, 0 for any free one
- * @param peersPort TCP and UDP port for other daemons, 0 for any free one
- * @param configurationService IP number and port of the platform's configuration service
- * @param vmList IP number and port of the platform's list of VMs
- * @param readsPerSecond how many calls a second this process may make to the configuration service
- * @param maxBodyBytes the largest request body it takes
- * @param addressesTimeToLive how long callers may keep the answer to which addresses to use
- * @param drainLimit how long a shutdown waits for streams in flight
- * @param auditFile where the audit trail is also written, empty for nowhere but memory and log
+ * @param address the IP address that the daemon listens on and advertises to peers
+ * @param dataCentre the data centre of the VM
+ * @param region the region of the VM
+ * @param callersPort TCP port for callers, 0 to use any free port
+ * @param operatorsPort TCP port for operators, 0 to use any free port
+ * @param peersPort TCP and UDP port for other daemons, 0 to use any free port
+ * @param configurationService IP address and port of the platform's configuration service
+ * @param vmList IP address and port of the platform's VM list service
+ * @param readsPerSecond the maximum rate of calls from this process to the configuration service, in calls per second
+ * @param maxBodyBytes the maximum size of a request body in bytes
+ * @param addressesTimeToLive how long callers may cache the list of daemon addresses
+ * @param drainLimit the maximum time that a shutdown waits for streams in flight
+ * @param auditFile the path of an additional audit file, empty to keep the audit trail only in memory and log
  */
 public record DaemonSettings(
         String name,
@@ -36,15 +36,17 @@
         Duration drainLimit,
         String auditFile) {
     /**
-     * Starts the settings of a daemon.
+     * Creates a builder for the settings of a daemon.
      *
-     * @return a builder
+     * @return a new builder
      */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Builds the settings of a daemon component by component; what is left out keeps its default. Checks nothing. */
+    /**
+     * Builds the settings of a daemon. Components that are not set keep their defaults; values are not validated.
+     */
     public static final class Builder {
         private String name;
         private String address;
@@ -77,7 +79,7 @@
         /**
          * Sets {@link DaemonSettings#address()}.
          *
-         * @param value the IP number that it listens on and tells others
+         * @param value the IP address that the daemon listens on and advertises to peers
          * @return this builder
          */
         public Builder address(String value) {
@@ -88,7 +90,7 @@
         /**
          * Sets {@link DaemonSettings#dataCentre()}.
          *
-         * @param value its data centre
+         * @param value the data centre of the VM
          * @return this builder
          */
         public Builder dataCentre(String value) {
@@ -99,7 +101,7 @@
         /**
          * Sets {@link DaemonSettings#region()}.
          *
-         * @param value its region
+         * @param value the region of the VM
          * @return this builder
          */
         public Builder region(String value) {
@@ -110,7 +112,7 @@
         /**
          * Sets {@link DaemonSettings#callersPort()}.
          *
-         * @param value TCP port for callers, 0 for any free one
+         * @param value TCP port for callers, 0 to use any free port
          * @return this builder
          */
         public Builder callersPort(int value) {
@@ -121,7 +123,7 @@
         /**
          * Sets {@link DaemonSettings#operatorsPort()}.
          *
-         * @param value TCP port for operators, 0 for any free one
+         * @param value TCP port for operators, 0 to use any free port
          * @return this builder
          */
         public Builder operatorsPort(int value) {
@@ -132,7 +134,7 @@
         /**
          * Sets {@link DaemonSettings#peersPort()}.
          *
-         * @param value TCP and UDP port for other daemons, 0 for any free one
+         * @param value TCP and UDP port for other daemons, 0 to use any free port
          * @return this builder
          */
         public Builder peersPort(int value) {
@@ -143,7 +145,7 @@
         /**
          * Sets {@link DaemonSettings#configurationService()}.
          *
-         * @param value IP number and port of the platform's configuration service
+         * @param value IP address and port of the platform's configuration service
          * @return this builder
          */
         public Builder configurationService(String value) {
@@ -154,7 +156,7 @@
         /**
          * Sets {@link DaemonSettings#vmList()}.
          *
-         * @param value IP number and port of the platform's list of VMs
+         * @param value IP address and port of the platform's VM list service
          * @return this builder
          */
         public Builder vmList(String value) {
@@ -165,7 +167,7 @@
         /**
          * Sets {@link DaemonSettings#readsPerSecond()}.
          *
-         * @param value how many calls a second this process may make to the configuration service
+         * @param value the maximum rate of calls from this process to the configuration service, in calls per second
          * @return this builder
          */
         public Builder readsPerSecond(double value) {
@@ -176,7 +178,7 @@
         /**
          * Sets {@link DaemonSettings#maxBodyBytes()}.
          *
-         * @param value the largest request body it takes
+         * @param value the maximum size of a request body in bytes
          * @return this builder
          */
         public Builder maxBodyBytes(int value) {
@@ -187,7 +189,7 @@
         /**
          * Sets {@link DaemonSettings#addressesTimeToLive()}.
          *
-         * @param value how long callers may keep the answer to which addresses to use
+         * @param value how long callers may cache the list of daemon addresses
          * @return this builder
          */
         public Builder addressesTimeToLive(Duration value) {
@@ -198,7 +200,7 @@
         /**
          * Sets {@link DaemonSettings#drainLimit()}.
          *
-         * @param value how long a shutdown waits for streams in flight
+         * @param value the maximum time that a shutdown waits for streams in flight
          * @return this builder
          */
         public Builder drainLimit(Duration value) {
@@ -209,7 +211,7 @@
         /**
          * Sets {@link DaemonSettings#auditFile()}.
          *
-         * @param value where the audit trail is also written, empty for nowhere but memory and log
+         * @param value the path of an additional audit file, empty to keep the audit trail only in memory and log
          * @return this builder
          */
         public Builder auditFile(String value) {
@@ -218,7 +220,7 @@
         }
 
         /**
-         * Ends the building.
+         * Builds the record from the values set so far, without validating them.
          *
          * @return the daemon's settings
          */
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/DaemonSettingsReader.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/DaemonSettingsReader.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the settings file of a daemon, and reports everything that is wrong with it together. */
+/** Parses and validates the settings file of a daemon, and reports all findings together. */
 public final class DaemonSettingsReader {
     private static final String NAME = "name";
     private static final String DATA_CENTRE = "data-centre";
@@ -24,33 +24,33 @@
 
     private static final Map<String, List<String>> KEYS = keys();
 
-    private static final Value<Long> PORT = Value.integer(0, 65_535);
+    private static final ValueType<Long> PORT_TYPE = ValueType.integer(0, 65_535);
     private static final long DEFAULT_CALLERS_PORT = 8080;
     private static final long DEFAULT_OPERATORS_PORT = 9090;
     private static final long DEFAULT_PEERS_PORT = 7946;
     private static final double DEFAULT_READS_PER_SECOND = 5;
-    private static final double LEAST_READS_PER_SECOND = 0.1;
-    private static final double MOST_READS_PER_SECOND = 2_000;
-    private static final long LEAST_BODY_BYTES = 1_024;
-    private static final long MOST_BODY_BYTES = 64L << 20;
-    private static final long DEFAULT_BODY_BYTES = 1L << 20;
+    private static final double MIN_READS_PER_SECOND = 0.1;
+    private static final double MAX_READS_PER_SECOND = 2_000;
+    private static final long LOWEST_MAX_BODY_BYTES = 1_024;
+    private static final long HIGHEST_MAX_BODY_BYTES = 64L << 20;
+    private static final long DEFAULT_MAX_BODY_BYTES = 1L << 20;
     private static final long DEFAULT_TIME_TO_LIVE_SECONDS = 20;
-    private static final long LONGEST_TIME_TO_LIVE_SECONDS = 3_600;
-    private static final long DEFAULT_DRAIN_SECONDS = 300;
-    private static final long LONGEST_DRAIN_SECONDS = 86_400;
+    private static final long MAX_TIME_TO_LIVE_SECONDS = 3_600;
+    private static final long DEFAULT_DRAIN_LIMIT_SECONDS = 300;
+    private static final long MAX_DRAIN_LIMIT_SECONDS = 86_400;
 
     /**
      * Reads a settings file.
      *
-     * @param name the file's name, for findings
-     * @param ini the text
+     * @param name the file's name, used in findings
+     * @param ini the settings as INI text
      * @return the settings, or all findings
      */
     public Checked<DaemonSettings> read(String name, String ini) {
         Findings findings = new Findings();
         SettingsSections sections = SettingsSections.read(name, ini, KEYS, findings);
         DaemonSettings settings = settings(sections);
-        return findings.none() ? new Checked.Valid<>(settings) : findings.invalid(List.copyOf(KEYS.keySet()));
+        return findings.isEmpty() ? new Checked.Valid<>(settings) : findings.toInvalid(List.copyOf(KEYS.keySet()));
     }
 
     private static DaemonSettings settings(SettingsSections sections) {
@@ -58,29 +58,33 @@
         SectionReader listen = sections.section("listen");
         SectionReader platform = sections.section("platform");
         SectionReader edge = sections.section("edge");
-        long drainSeconds =
-                daemon.optional(DRAIN_LIMIT, Value.integer(1, LONGEST_DRAIN_SECONDS), DEFAULT_DRAIN_SECONDS);
+        long drainLimitSeconds = daemon.optional(
+                DRAIN_LIMIT, ValueType.integer(1, MAX_DRAIN_LIMIT_SECONDS), DEFAULT_DRAIN_LIMIT_SECONDS);
         long timeToLiveSeconds = edge.optional(
-                TIME_TO_LIVE, Value.integer(1, LONGEST_TIME_TO_LIVE_SECONDS), DEFAULT_TIME_TO_LIVE_SECONDS);
+                TIME_TO_LIVE, ValueType.integer(1, MAX_TIME_TO_LIVE_SECONDS), DEFAULT_TIME_TO_LIVE_SECONDS);
         DaemonSettings settings = new DaemonSettings(
-                daemon.required(NAME, Value.NAMED),
-                listen.required(ADDRESS, Value.IP_NUMBER),
-                daemon.required(DATA_CENTRE, Value.NAMED),
-                daemon.required(REGION, Value.NAMED),
-                listen.optional(CALLERS_PORT, PORT, DEFAULT_CALLERS_PORT).intValue(),
-                listen.optional(OPERATORS_PORT, PORT, DEFAULT_OPERATORS_PORT).intValue(),
-                listen.optional(PEERS_PORT, PORT, DEFAULT_PEERS_PORT).intValue(),
-                platform.required(CONFIGURATION_SERVICE, Value.ADDRESS),
-                platform.required(VM_LIST, Value.ADDRESS),
+                daemon.required(NAME, ValueType.NAME),
+                listen.required(ADDRESS, ValueType.IP_ADDRESS),
+                daemon.required(DATA_CENTRE, ValueType.NAME),
+                daemon.required(REGION, ValueType.NAME),
+                listen.optional(CALLERS_PORT, PORT_TYPE, DEFAULT_CALLERS_PORT).intValue(),
+                listen.optional(OPERATORS_PORT, PORT_TYPE, DEFAULT_OPERATORS_PORT)
+                        .intValue(),
+                listen.optional(PEERS_PORT, PORT_TYPE, DEFAULT_PEERS_PORT).intValue(),
+                platform.required(CONFIGURATION_SERVICE, ValueType.ADDRESS),
+                platform.required(VM_LIST, ValueType.ADDRESS),
                 platform.optional(
                         READS_PER_SECOND,
-                        Value.decimal(LEAST_READS_PER_SECOND, MOST_READS_PER_SECOND),
+                        ValueType.decimal(MIN_READS_PER_SECOND, MAX_READS_PER_SECOND),
                         DEFAULT_READS_PER_SECOND),
-                edge.optional(MAX_BODY_BYTES, Value.integer(LEAST_BODY_BYTES, MOST_BODY_BYTES), DEFAULT_BODY_BYTES)
+                edge.optional(
+                                MAX_BODY_BYTES,
+                                ValueType.integer(LOWEST_MAX_BODY_BYTES, HIGHEST_MAX_BODY_BYTES),
+                                DEFAULT_MAX_BODY_BYTES)
                         .intValue(),
                 Duration.ofSeconds(timeToLiveSeconds),
-                Duration.ofSeconds(drainSeconds),
-                daemon.optional(AUDIT_FILE, Value.FILE, ""));
+                Duration.ofSeconds(drainLimitSeconds),
+                daemon.optional(AUDIT_FILE, ValueType.FILE, ""));
         checkPorts(listen, settings);
         return settings;
     }
@@ -89,9 +93,9 @@
         if (settings.operatorsPort() != 0 && settings.operatorsPort() == settings.callersPort()) {
             listen.add(OPERATORS_PORT, "a port other than " + CALLERS_PORT, "the same");
         }
-        boolean peersTaken =
+        boolean peersPortConflicts =
                 settings.peersPort() == settings.callersPort() || settings.peersPort() == settings.operatorsPort();
-        if (settings.peersPort() != 0 && peersTaken) {
+        if (settings.peersPort() != 0 && peersPortConflicts) {
             listen.add(PEERS_PORT, "a port other than " + CALLERS_PORT + " and " + OPERATORS_PORT, "one of them");
         }
     }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Decimals.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Decimals.java
@@ -2,15 +2,15 @@
 
 import java.math.BigDecimal;
 
-/** Writes decimal numbers in one form only, so that equal values give equal text. */
+/** Formats decimal numbers in a canonical form, so that equal values give equal text. */
 final class Decimals {
-    /** Whole numbers below it are exact in a double. */
-    private static final double LARGEST_EXACT = 1L << 53;
+    /** Every integer of smaller magnitude has an exact double representation. */
+    private static final double EXACT_INTEGER_LIMIT = 1L << 53;
 
     private Decimals() {}
 
     static String text(double value) {
-        if (value == Math.rint(value) && Math.abs(value) < LARGEST_EXACT) {
+        if (value == Math.rint(value) && Math.abs(value) < EXACT_INTEGER_LIMIT) {
             return Long.toString((long) value);
         }
         BigDecimal exact = BigDecimal.valueOf(value);
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Draft.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Draft.java
@@ -7,27 +7,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** A configuration that is being put together from sections, before it is checked as a whole. */
+/** A mutable configuration assembled from sections, before it is validated as a whole. */
 final class Draft {
     private final SectionRecords<RequestClass> classes = new SectionRecords<>(new ClassSection());
     private final SectionRecords<Customer> customers = new SectionRecords<>(new CustomerSection());
     private final SectionRecords<Upstream> upstreams = new SectionRecords<>(new UpstreamSection());
-    private final SectionRecords<PlacedWorker> workers = new SectionRecords<>(new WorkerSection());
-    private final Map<String, SectionRecords<?>> byWord = new LinkedHashMap<>();
+    private final SectionRecords<UpstreamWorker> workers = new SectionRecords<>(new WorkerSection());
+    private final Map<String, SectionRecords<?>> byKindName = new LinkedHashMap<>();
     private Configuration base;
 
     Draft() {
-        byWord.put(new ClassSection().word(), classes);
-        byWord.put(new CustomerSection().word(), customers);
-        byWord.put(new UpstreamSection().word(), upstreams);
-        byWord.put(new WorkerSection().word(), workers);
+        byKindName.put(new ClassSection().kindName(), classes);
+        byKindName.put(new CustomerSection().kindName(), customers);
+        byKindName.put(new UpstreamSection().kindName(), upstreams);
+        byKindName.put(new WorkerSection().kindName(), workers);
     }
 
     /**
-     * Starts from what is in force.
+     * Creates a draft with the content of an existing configuration.
      *
-     * @param base the configuration
-     * @return a draft with its content
+     * @param base the configuration to start from
+     * @return a draft with the same content
      */
     static Draft of(Configuration base) {
         Draft draft = new Draft();
@@ -35,11 +35,11 @@
         draft.classes.startFrom(base.classes());
         draft.customers.startFrom(base.customers());
         draft.upstreams.startFrom(base.upstreams());
-        List<PlacedWorker> placed = new ArrayList<>();
+        List<UpstreamWorker> upstreamWorkers = new ArrayList<>();
         for (Upstream upstream : base.upstreams()) {
-            upstream.workers().forEach(each -> placed.add(new PlacedWorker(upstream.name(), each)));
+            upstream.workers().forEach(each -> upstreamWorkers.add(new UpstreamWorker(upstream.name(), each)));
         }
-        draft.workers.startFrom(placed);
+        draft.workers.startFrom(upstreamWorkers);
         return draft;
     }
 
@@ -55,33 +55,33 @@
         return upstreams;
     }
 
-    SectionRecords<PlacedWorker> workers() {
+    SectionRecords<UpstreamWorker> workers() {
         return workers;
     }
 
     /**
-     * The records of a kind.
+     * Finds the records of one kind of section.
      *
-     * @param word the kind's word
-     * @return the records, or null if there is no such kind
+     * @param kindName the name of the section kind, for example {@code class}
+     * @return the records, or null if the kind is unknown
      */
-    SectionRecords<?> ofKind(String word) {
-        return byWord.get(word);
+    SectionRecords<?> ofKind(String kindName) {
+        return byKindName.get(kindName);
     }
 
     /**
-     * The words of all kinds of section.
+     * Lists the names of all section kinds.
      *
-     * @return the words
+     * @return the kind names in canonical order
      */
-    List<String> words() {
-        return List.copyOf(byWord.keySet());
+    List<String> kindNames() {
+        return List.copyOf(byKindName.keySet());
     }
 
     /**
-     * Makes the configuration. To be called only when the draft has been checked.
+     * Builds the configuration. The draft must have been validated without findings.
      *
-     * @param number its number
+     * @param number the publication number of the configuration
      * @return the configuration with its digest
      */
     Configuration build(long number) {
@@ -91,17 +91,17 @@
     }
 
     private List<Upstream> upstreamsWithWorkers() {
-        Map<String, List<Worker>> workersOf = new HashMap<>();
-        for (PlacedWorker placed : workers.sorted()) {
-            workersOf
-                    .computeIfAbsent(placed.upstream(), name -> new ArrayList<>())
-                    .add(placed.worker());
+        Map<String, List<Worker>> workersByUpstream = new HashMap<>();
+        for (UpstreamWorker each : workers.sorted()) {
+            workersByUpstream
+                    .computeIfAbsent(each.upstream(), name -> new ArrayList<>())
+                    .add(each.worker());
         }
         List<Upstream> complete = new ArrayList<>();
         for (Upstream upstream : upstreams.sorted()) {
-            List<Worker> own = new ArrayList<>(workersOf.getOrDefault(upstream.name(), List.of()));
-            own.sort(Comparator.comparing(Worker::name));
-            complete.add(withWorkers(upstream, List.copyOf(own)));
+            List<Worker> ownWorkers = new ArrayList<>(workersByUpstream.getOrDefault(upstream.name(), List.of()));
+            ownWorkers.sort(Comparator.comparing(Worker::name));
+            complete.add(withWorkers(upstream, List.copyOf(ownWorkers)));
         }
         return complete;
     }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/DraftChecks.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/DraftValidator.java
@@ -4,30 +4,30 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Checks what concerns more than one section: references, duplicates, and sums. */
-final class DraftChecks {
-    /** Allows for the rounding of decimal fractions when shares are added up. */
-    private static final double ROUNDING = 1e-9;
+/** Validates rules that span several sections: references, uniqueness, and the sum of minimum shares. */
+final class DraftValidator {
+    /** Allows for floating-point rounding when minimum shares are added up. */
+    private static final double SHARE_SUM_TOLERANCE = 1e-9;
 
     private final String file;
     private final Draft draft;
     private final Findings findings;
 
     /**
-     * Prepares the checks.
+     * Creates a validator for one draft.
      *
-     * @param file the file to name for sections that were there before
-     * @param draft what is checked
-     * @param findings takes what is wrong
+     * @param file the file name reported for records that come from the base configuration
+     * @param draft the draft to validate
+     * @param findings receives the validation errors
      */
-    DraftChecks(String file, Draft draft, Findings findings) {
+    DraftValidator(String file, Draft draft, Findings findings) {
         this.file = file;
         this.draft = draft;
         this.findings = findings;
     }
 
-    /** Runs all checks. */
-    void run() {
+    /** Runs all validations. */
+    void validate() {
         checkNotEmpty();
         draft.classes().byName().values().forEach(this::checkClass);
         draft.customers().byName().values().forEach(this::checkCustomer);
@@ -37,19 +37,19 @@
         checkAddresses();
     }
 
-    /** A text that was cut off or emptied on its way would otherwise put a system that serves nobody in force. */
+    /** Rejects truncated or empty documents. Once in force, such a configuration would reject every request. */
     private void checkNotEmpty() {
-        for (String word : draft.words()) {
-            if (draft.ofKind(word).isEmpty()) {
-                findings.add(file, "", "", "at least one section [" + word + " NAME]", "none");
+        for (String kindName : draft.kindNames()) {
+            if (draft.ofKind(kindName).isEmpty()) {
+                findings.add(file, "", "", "at least one section [" + kindName + " NAME]", "none");
             }
         }
     }
 
     private void checkClass(RequestClass requestClass) {
-        Place place = place(draft.classes(), requestClass.name());
+        FindingLocation location = location(draft.classes(), requestClass.name());
         if (!draft.upstreams().exists(requestClass.upstream())) {
-            unknown(place, ClassSection.UPSTREAM, "upstream", requestClass.upstream(), draft.upstreams());
+            reportUnknownName(location, ClassSection.UPSTREAM, "upstream", requestClass.upstream(), draft.upstreams());
             return;
         }
         Upstream upstream = draft.upstreams().byName().get(requestClass.upstream());
@@ -57,59 +57,61 @@
             return;
         }
         if (upstream.kind() == Upstream.Kind.SERVICE) {
-            checkServiceClass(place, requestClass);
+            checkServiceClass(location, requestClass);
         } else {
-            checkEngineClass(place, requestClass);
+            checkEngineClass(location, requestClass);
         }
     }
 
-    private void checkServiceClass(Place place, RequestClass requestClass) {
+    private void checkServiceClass(FindingLocation location, RequestClass requestClass) {
         String reason = " for a class of the plain service " + requestClass.upstream();
         if (!requestClass.model().isEmpty()) {
-            place.add(ClassSection.MODEL, "no model" + reason, requestClass.model());
+            location.add(ClassSection.MODEL, "no model" + reason, requestClass.model());
         }
         if (!requestClass.version().isEmpty()) {
-            place.add(ClassSection.VERSION, "no version" + reason, requestClass.version());
+            location.add(ClassSection.VERSION, "no version" + reason, requestClass.version());
         }
         if (requestClass.tokenIntervalMillis() != 0) {
-            place.add(ClassSection.TOKEN_INTERVAL, "0" + reason, String.valueOf(requestClass.tokenIntervalMillis()));
+            location.add(ClassSection.TOKEN_INTERVAL, "0" + reason, String.valueOf(requestClass.tokenIntervalMillis()));
         }
         if (requestClass.maxOutputTokens() != 1) {
-            place.add(ClassSection.MAX_OUTPUT_TOKENS, "1" + reason, String.valueOf(requestClass.maxOutputTokens()));
+            location.add(ClassSection.MAX_OUTPUT_TOKENS, "1" + reason, String.valueOf(requestClass.maxOutputTokens()));
         }
     }
 
-    private void checkEngineClass(Place place, RequestClass requestClass) {
+    private void checkEngineClass(FindingLocation location, RequestClass requestClass) {
         String reason = " for a class of the engines " + requestClass.upstream();
         if (requestClass.model().isEmpty()) {
-            place.add(ClassSection.MODEL, "a model" + reason, "nothing");
+            location.add(ClassSection.MODEL, "a model" + reason, "nothing");
         }
         if (requestClass.version().isEmpty()) {
-            place.add(ClassSection.VERSION, "a version" + reason, "nothing");
+            location.add(ClassSection.VERSION, "a version" + reason, "nothing");
         }
         if (requestClass.tokenIntervalMillis() == 0) {
-            place.add(ClassSection.TOKEN_INTERVAL, "at least 1" + reason, "0");
+            location.add(ClassSection.TOKEN_INTERVAL, "at least 1" + reason, "0");
         }
     }
 
     private void checkCustomer(Customer customer) {
         for (String name : customer.classes()) {
             if (!draft.classes().exists(name)) {
-                Place place = place(draft.customers(), customer.name());
-                unknown(place, CustomerSection.CLASSES, "class", name, draft.classes());
+                FindingLocation location = location(draft.customers(), customer.name());
+                reportUnknownName(location, CustomerSection.CLASSES, "class", name, draft.classes());
             }
         }
         if (!customer.classes().contains(customer.defaultClass())) {
             String found = NearestName.hint(customer.defaultClass(), customer.classes());
-            place(draft.customers(), customer.name())
+            location(draft.customers(), customer.name())
                     .add(CustomerSection.DEFAULT_CLASS, "one of the customer's classes", found);
         }
     }
 
-    private void checkWorker(PlacedWorker placed) {
-        if (!draft.upstreams().exists(placed.upstream())) {
-            Place place = place(draft.workers(), placed.worker().name());
-            unknown(place, WorkerSection.UPSTREAM, "upstream", placed.upstream(), draft.upstreams());
+    private void checkWorker(UpstreamWorker upstreamWorker) {
+        if (!draft.upstreams().exists(upstreamWorker.upstream())) {
+            FindingLocation location =
+                    location(draft.workers(), upstreamWorker.worker().name());
+            reportUnknownName(
+                    location, WorkerSection.UPSTREAM, "upstream", upstreamWorker.upstream(), draft.upstreams());
         }
     }
 
@@ -119,9 +121,9 @@
             sums.merge(each.upstream(), each.minimumShare(), Double::sum);
         }
         sums.forEach((upstream, sum) -> {
-            if (sum > 1 + ROUNDING) {
+            if (sum > 1 + SHARE_SUM_TOLERANCE) {
                 String expected = "classes whose " + ClassSection.MINIMUM_SHARE + " add up to 1 at most";
-                place(draft.upstreams(), upstream).add("", expected, Decimals.text(sum));
+                location(draft.upstreams(), upstream).add("", expected, Decimals.text(sum));
             }
         });
     }
@@ -131,7 +133,7 @@
         for (Customer each : draft.customers().byName().values()) {
             String owner = owners.putIfAbsent(each.keySha256(), each.name());
             if (owner != null) {
-                place(draft.customers(), each.name())
+                location(draft.customers(), each.name())
                         .add(CustomerSection.KEY_SHA256, "a key of its own", "that of customer " + owner);
             }
         }
@@ -139,34 +141,35 @@
 
     private void checkAddresses() {
         Map<String, String> owners = new HashMap<>();
-        for (PlacedWorker each : draft.workers().byName().values()) {
+        for (UpstreamWorker each : draft.workers().byName().values()) {
             Worker worker = each.worker();
             String owner = owners.putIfAbsent(worker.address(), worker.name());
             if (owner != null) {
-                place(draft.workers(), worker.name())
+                location(draft.workers(), worker.name())
                         .add(WorkerSection.ADDRESS, "an address of its own", "that of worker " + owner);
             }
         }
     }
 
-    private void unknown(Place place, String key, String what, String name, SectionRecords<?> known) {
-        place.add(
+    private void reportUnknownName(
+            FindingLocation location, String key, String kindName, String name, SectionRecords<?> candidates) {
+        location.add(
                 key,
-                "the name of a known " + what,
-                NearestName.hint(name, known.byName().keySet()));
+                "the name of a known " + kindName,
+                NearestName.hint(name, candidates.byName().keySet()));
     }
 
-    private Place place(SectionRecords<?> records, String name) {
-        return new Place(records.origin(file, name), findings);
+    private FindingLocation location(SectionRecords<?> records, String name) {
+        return new FindingLocation(records.origin(file, name), findings);
     }
 
     /**
-     * Where findings about a record are placed.
+     * The section to which findings about a record are attributed.
      *
-     * @param section the record's section
-     * @param findings takes the findings
+     * @param section the section that defines the record
+     * @param findings receives the findings
      */
-    private record Place(IniSection section, Findings findings) {
+    private record FindingLocation(IniSection section, Findings findings) {
         void add(String key, String expected, String found) {
             findings.add(section.file(), section.header(), key, expected, found);
         }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Finding.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Finding.java
@@ -1,18 +1,18 @@
 package org.dotterelcourse.configuration;
 
 /**
- * One thing wrong with a text that somebody wrote, with its place. Findings are collected and reported together.
+ * A validation error in a configuration document, patch or settings file, with its location.
  *
- * @param file the file's or document's name
- * @param section the section, empty if the finding is about the whole file
- * @param key the key, empty if the finding is about the whole section
- * @param expected what was expected there
- * @param found what was found
+ * @param file the name of the file or document
+ * @param section the header of the section, empty if the finding is about the whole file
+ * @param key the name of the key, empty if the finding is about the whole section
+ * @param expected the expected content
+ * @param found the actual content, or a description that does not reveal secrets
  */
 public record Finding(String file, String section, String key, String expected, String found) {
     @Override
     public String toString() {
-        String place = section.isEmpty() ? file : file + " [" + section + "]" + (key.isEmpty() ? "" : " " + key);
-        return place + ": expected " + expected + ", found " + found;
+        String location = section.isEmpty() ? file : file + " [" + section + "]" + (key.isEmpty() ? "" : " " + key);
+        return location + ": expected " + expected + ", found " + found;
     }
 }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Findings.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Findings.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Collects findings while a text is read, so that they are reported together. */
+/** Collects the validation errors of a text, so that they are reported together. */
 final class Findings {
     private final List<Finding> list = new ArrayList<>();
 
@@ -15,39 +15,39 @@
     }
 
     /**
-     * Shortens an unknown key to its first word. A line without a separator is read as one long key; if somebody forgot
-     * the equals sign before a bearer key, the finding would otherwise print that key.
+     * Shortens an unknown key to its first word. The INI parser reads a line without a separator as one long key; if
+     * the equals sign before a bearer key is missing, the finding would otherwise reveal the bearer key.
      *
-     * @param key the key as it was read
-     * @return its first word, and dots for the rest
+     * @param key the key as parsed
+     * @return the first word, followed by an ellipsis if there is more
      */
     static String firstWord(String key) {
-        int blank = key.trim().indexOf(' ');
-        return blank < 0 ? key : key.trim().substring(0, blank) + " ...";
+        int spaceIndex = key.trim().indexOf(' ');
+        return spaceIndex < 0 ? key : key.trim().substring(0, spaceIndex) + " ...";
     }
 
     int count() {
         return list.size();
     }
 
-    boolean none() {
+    boolean isEmpty() {
         return list.isEmpty();
     }
 
     /**
-     * Ends the reading of a text that was wrong.
+     * Creates the result for an invalid text.
      *
-     * @param order the headers of the text's sections in their order
-     * @param <T> what a right text would have held
-     * @return the findings on the whole text first, then those of each section in that order
+     * @param sectionOrder the section headers in document order
+     * @param <T> the type of the value that a valid text yields
+     * @return the findings about the whole text, followed by those about each section in the given order
      */
-    <T> Checked<T> invalid(List<String> order) {
-        Map<String, Integer> places = new HashMap<>();
-        places.put("", -1);
-        for (int i = 0; i < order.size(); i++) {
-            places.putIfAbsent(order.get(i), i);
+    <T> Checked<T> toInvalid(List<String> sectionOrder) {
+        Map<String, Integer> positions = new HashMap<>();
+        positions.put("", -1);
+        for (int i = 0; i < sectionOrder.size(); i++) {
+            positions.putIfAbsent(sectionOrder.get(i), i);
         }
-        list.sort(Comparator.comparingInt(each -> places.getOrDefault(each.section(), order.size())));
+        list.sort(Comparator.comparingInt(each -> positions.getOrDefault(each.section(), sectionOrder.size())));
         return new Checked.Invalid<>(List.copyOf(list));
     }
 }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/GatewaySettings.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/GatewaySettings.java
@@ -4,22 +4,23 @@
 import java.util.List;
 
 /**
- * The settings of one process that routes by host and path, from its INI file. Every address is an IP number and port.
+ * The settings of one gateway process, which routes by host and path, read from its INI file. Every address is an IP
+ * address and port.
  *
  * @param name the VM's name, unique in the fleet
- * @param dataCentre its data centre
- * @param region its region
- * @param grace how long after SIGTERM the process may go on
- * @param clients where it listens for clients
- * @param readiness where it tells whether it is ready
- * @param addresses where it tells which addresses to use
- * @param peers where it listens for other processes, TCP and UDP
- * @param store the platform's store
- * @param changesWithin the time within which published changes must be in force everywhere
- * @param seeds peers' addresses to begin with
- * @param repeatRatio repeats that an upstream may be sent for each request
- * @param repeatExtra repeats in a window beside these, of the whole fleet
- * @param repeatWindow the window's length
+ * @param dataCentre the data centre of the VM
+ * @param region the region of the VM
+ * @param grace the grace period after SIGTERM within which the process must end
+ * @param clients the listen address for client requests
+ * @param readiness the listen address of the readiness endpoint
+ * @param addresses the listen address of the endpoint that lists the addresses clients may use
+ * @param peers the listen address for peer processes, TCP and UDP
+ * @param store the address of the platform's store
+ * @param changesWithin the maximum time until a published change is in force on every process
+ * @param seeds the addresses of the peers contacted first to join the cluster
+ * @param repeatRatio the retry budget of an upstream, in retries per request
+ * @param repeatExtra retries allowed across the whole fleet in each window in addition to {@code repeatRatio}
+ * @param repeatWindow the length of the window over which retries are counted
  */
 public record GatewaySettings(
         String name,
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/GatewaySettingsReader.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/GatewaySettingsReader.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the settings file of a process that routes by host and path, and reports everything wrong with it together. */
+/** Parses and validates the settings file of a gateway process, and reports all findings together. */
 public final class GatewaySettingsReader {
     private static final String DAEMON = "daemon";
     private static final String LISTEN = "listen";
@@ -14,19 +14,19 @@
     private static final String REPEATS = "repeats";
     private static final Map<String, List<String>> KEYS = keys();
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final Value<Double> SECONDS = Value.decimal(0.001, 86_400);
-    private static final double LONGEST_MILLIS = 3_600_000;
-    private static final Value<Double> MILLIS = Value.decimal(100, LONGEST_MILLIS);
-    /** The shortest time that deployments ask for. */
-    private static final double CHANGES_WITHIN = 2_000;
+    private static final ValueType<Double> SECONDS_TYPE = ValueType.decimal(0.001, 86_400);
+    private static final double MAX_MILLIS = 3_600_000;
+    private static final ValueType<Double> MILLIS_TYPE = ValueType.decimal(100, MAX_MILLIS);
+    /** Default where no time is set: the shortest time that any deployment requires. */
+    private static final double DEFAULT_CHANGES_WITHIN_MILLIS = 2_000;
 
-    private static final Value<Double> COUNT = Value.decimal(0, 1_000_000);
+    private static final ValueType<Double> COUNT_TYPE = ValueType.decimal(0, 1_000_000);
 
     /**
      * Reads a settings file.
      *
-     * @param name the file's name, for findings
-     * @param ini the text
+     * @param name the file's name, used in findings
+     * @param ini the settings as INI text
      * @return the settings, or all findings
      */
     public Checked<GatewaySettings> read(String name, String ini) {
@@ -37,24 +37,24 @@
         SectionReader platform = sections.section(PLATFORM);
         SectionReader repeats = sections.section(REPEATS);
         GatewaySettings settings = new GatewaySettings(
-                daemon.required("name", Value.NAMED),
-                daemon.required("data-centre", Value.NAMED),
-                daemon.required("region", Value.NAMED),
-                seconds(daemon.required("grace-seconds", SECONDS)),
-                listen.required("clients", Value.ADDRESS),
-                listen.required("readiness", Value.ADDRESS),
-                listen.required("addresses", Value.ADDRESS),
-                listen.required("peers", Value.ADDRESS),
-                platform.required("store", Value.ADDRESS),
+                daemon.required("name", ValueType.NAME),
+                daemon.required("data-centre", ValueType.NAME),
+                daemon.required("region", ValueType.NAME),
+                seconds(daemon.required("grace-seconds", SECONDS_TYPE)),
+                listen.required("clients", ValueType.ADDRESS),
+                listen.required("readiness", ValueType.ADDRESS),
+                listen.required("addresses", ValueType.ADDRESS),
+                listen.required("peers", ValueType.ADDRESS),
+                platform.required("store", ValueType.ADDRESS),
                 shortest(
-                        platform.optional("configuration-milliseconds", MILLIS, CHANGES_WITHIN),
-                        platform.optional("leaving-milliseconds", MILLIS, CHANGES_WITHIN),
-                        platform.optional("evacuation-milliseconds", MILLIS, LONGEST_MILLIS)),
-                platform.optional("seeds", Value.ADDRESSES, List.of()),
-                repeats.required("ratio", COUNT),
-                repeats.required("extra", COUNT),
-                seconds(repeats.required("window-seconds", SECONDS)));
-        return findings.none() ? new Checked.Valid<>(settings) : findings.invalid(List.copyOf(KEYS.keySet()));
+                        platform.optional("configuration-milliseconds", MILLIS_TYPE, DEFAULT_CHANGES_WITHIN_MILLIS),
+                        platform.optional("leaving-milliseconds", MILLIS_TYPE, DEFAULT_CHANGES_WITHIN_MILLIS),
+                        platform.optional("evacuation-milliseconds", MILLIS_TYPE, MAX_MILLIS)),
+                platform.optional("seeds", ValueType.ADDRESSES, List.of()),
+                repeats.required("ratio", COUNT_TYPE),
+                repeats.required("extra", COUNT_TYPE),
+                seconds(repeats.required("window-seconds", SECONDS_TYPE)));
+        return findings.isEmpty() ? new Checked.Valid<>(settings) : findings.toInvalid(List.copyOf(KEYS.keySet()));
     }
 
     private static Duration seconds(double seconds) {
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IndexedList.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IndexedList.java
@@ -9,32 +9,32 @@
 import java.util.function.Function;
 
 /**
- * An immutable list with hash indexes, so that a record can hold a list and look its elements up in constant time.
+ * An immutable list with hash indexes. It lets a record expose a list and still find elements in constant time.
  *
- * @param <T> the elements
+ * @param <T> the type of the elements
  */
 final class IndexedList<T> extends AbstractList<T> implements RandomAccess {
     private final List<T> elements;
     private final List<Map<String, T>> indexes;
-    private final SectionSums<T> sums;
+    private final SectionDigests<T> digests;
 
-    private IndexedList(List<T> elements, List<Map<String, T>> indexes, SectionSums<T> sums) {
+    private IndexedList(List<T> elements, List<Map<String, T>> indexes, SectionDigests<T> digests) {
         this.elements = elements;
         this.indexes = indexes;
-        this.sums = sums;
+        this.digests = digests;
     }
 
     /**
-     * Indexes a list, unless it already is.
+     * Indexes a list, or returns it unchanged if it is an indexed list already.
      *
-     * @param source the elements
-     * @param keys one index is made for each of these
-     * @param <T> the elements' type
+     * @param source the elements in order
+     * @param keys the functions that extract the keys; each gets an index
+     * @param <T> the type of the elements
      * @return the indexed list
      */
     static <T> IndexedList<T> of(List<T> source, List<Function<T, String>> keys) {
-        if (source instanceof IndexedList<T> indexed) {
-            return indexed;
+        if (source instanceof IndexedList<T> indexedList) {
+            return indexedList;
         }
         List<T> elements = List.copyOf(source);
         return new IndexedList<>(
@@ -42,38 +42,38 @@
     }
 
     /**
-     * Keeps the sums of the elements' sections with the list.
+     * Attaches the digests of the elements' sections to the list.
      *
-     * @param known the sums
-     * @return a list of the same elements
+     * @param newDigests the digests of the elements
+     * @return a list of the same elements with these digests
      */
-    IndexedList<T> withSums(SectionSums<T> known) {
-        return new IndexedList<>(elements, indexes, known);
+    IndexedList<T> withDigests(SectionDigests<T> newDigests) {
+        return new IndexedList<>(elements, indexes, newDigests);
     }
 
     /**
-     * The sums that were kept with a list.
+     * Returns the digests attached to a list.
      *
-     * @param list the list
-     * @param <T> the elements' type
-     * @return the sums, or null if there are none
+     * @param list any list
+     * @param <T> the type of the elements
+     * @return the digests, or null if none are attached
      */
-    static <T> SectionSums<T> sums(List<T> list) {
-        return list instanceof IndexedList<T> indexed ? indexed.sums : null;
+    static <T> SectionDigests<T> digests(List<T> list) {
+        return list instanceof IndexedList<T> indexedList ? indexedList.digests : null;
     }
 
     /**
-     * Looks an element up.
+     * Finds an element by key.
      *
      * @param list a list made by {@link #of}
-     * @param index the place of the key's function in the list that was given there
-     * @param key the key
-     * @param <T> the elements' type
-     * @return the first element with that key, or empty
+     * @param index the position of the key function in the list passed to {@link #of}
+     * @param key the key to find
+     * @param <T> the type of the elements
+     * @return the first element with that key, or empty if none matches
      */
     static <T> Optional<T> find(List<T> list, int index, String key) {
-        IndexedList<T> indexed = (IndexedList<T>) list;
-        return Optional.ofNullable(indexed.indexes.get(index).get(key));
+        IndexedList<T> indexedList = (IndexedList<T>) list;
+        return Optional.ofNullable(indexedList.indexes.get(index).get(key));
     }
 
     private static <T> Map<String, T> index(List<T> elements, Function<T, String> key) {
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IniConfigurationReader.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IniConfigurationReader.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Reads documents and patches in INI. A text with findings has no effect at all; a patch is applied only to the
- * configuration whose number it names, and the result is checked as a whole.
+ * Reads configuration documents and patches in INI format. A text with findings has no effect. A patch is applied only
+ * to the configuration whose number it names as its base, and the result is validated as a whole.
  */
 public final class IniConfigurationReader implements ConfigurationReader {
     @Override
@@ -13,35 +13,35 @@
         Draft draft = new Draft();
         List<IniSection> sections = IniText.read(name, ini, findings);
         sections.forEach(each -> add(each, draft, findings));
-        new DraftChecks(name, draft, findings).run();
-        return findings.none() ? new Checked.Valid<>(draft.build(number)) : findings.invalid(headers(sections));
+        new DraftValidator(name, draft, findings).validate();
+        return findings.isEmpty() ? new Checked.Valid<>(draft.build(number)) : findings.toInvalid(headers(sections));
     }
 
     @Override
     public Checked<Configuration> fold(Configuration base, long number, String name, String ini) {
         Findings findings = new Findings();
-        PatchText patch = new PatchText(name, ini, findings);
+        Patch patch = new Patch(name, ini, findings);
         if (number <= base.number()) {
             findings.add(name, "", "", "to be published above number " + base.number(), "number " + number);
         }
         patch.checkBase(base.number());
         Draft draft = Draft.of(base);
         patch.applyTo(draft);
-        new DraftChecks(name, draft, findings).run();
-        return findings.none() ? new Checked.Valid<>(draft.build(number)) : findings.invalid(patch.headers());
+        new DraftValidator(name, draft, findings).validate();
+        return findings.isEmpty() ? new Checked.Valid<>(draft.build(number)) : findings.toInvalid(patch.headers());
     }
 
     /**
-     * Reads who made a patch, why, and against which number.
+     * Reads the header of a patch: its author, its reason and the number of its base.
      *
-     * @param name the patch's name, for findings
-     * @param ini the text
-     * @return the header, or all findings of the patch's form; its changes are not checked
+     * @param name the patch's file name, used in findings
+     * @param ini the patch as INI text
+     * @return the header, or all findings about the structure of the patch; the changes are not validated
      */
     public Checked<PatchHeader> header(String name, String ini) {
         Findings findings = new Findings();
-        PatchText patch = new PatchText(name, ini, findings);
-        return findings.none() ? new Checked.Valid<>(patch.header()) : findings.invalid(patch.headers());
+        Patch patch = new Patch(name, ini, findings);
+        return findings.isEmpty() ? new Checked.Valid<>(patch.header()) : findings.toInvalid(patch.headers());
     }
 
     private static void add(IniSection section, Draft draft, Findings findings) {
@@ -50,10 +50,10 @@
             records.add(section, findings);
             return;
         }
-        List<String> words = draft.words();
-        String start = section.header().split(" ", 2)[0];
-        String expected = "a section [KIND NAME] with a kind of " + String.join(", ", words);
-        findings.add(section.file(), section.header(), "", expected, NearestName.hint(start, words));
+        List<String> kindNames = draft.kindNames();
+        String kindName = section.header().split(" ", 2)[0];
+        String expected = "a section [KIND NAME] with a kind of " + String.join(", ", kindNames);
+        findings.add(section.file(), section.header(), "", expected, NearestName.hint(kindName, kindNames));
     }
 
     private static List<String> headers(List<IniSection> sections) {
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IniSection.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IniSection.java
@@ -5,15 +5,15 @@
 /**
  * One section of an INI text.
  *
- * @param file the text's name, for findings
- * @param header what stands between the brackets
- * @param entries the values by key, in the order of the text
+ * @param file the file's name, used in findings
+ * @param header the text between the brackets
+ * @param entries the values by key, in document order
  */
 record IniSection(String file, String header, Map<String, String> entries) {
     /**
-     * The header's words before the last one.
+     * Returns the kind of the section: the words of the header before the last one.
      *
-     * @return the kind of section, empty if the header is a single word
+     * @return the kind, empty if the header is a single word
      */
     String kind() {
         int space = header.lastIndexOf(' ');
@@ -21,9 +21,9 @@
     }
 
     /**
-     * The header's last word.
+     * Returns the last word of the header.
      *
-     * @return the name of what the section describes
+     * @return the name of the record that the section defines
      */
     String name() {
         return header.substring(header.lastIndexOf(' ') + 1);
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IniText.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IniText.java
@@ -14,10 +14,10 @@
 import org.apache.commons.configuration2.tree.ImmutableNode;
 
 /**
- * Reads an INI text into its sections. Values are taken as they stand: no lists are split and no variables replaced.
+ * Parses an INI text into sections. Values are taken literally: lists are not split and variables are not substituted.
  *
- * <p>The sections are read from the node tree, because a look-up by name searches all sections and makes a long
- * document quadratic.
+ * <p>The sections are read from the node tree: a look-up by name searches all sections, so that parsing would take
+ * quadratic time in the length of the document.
  */
 final class IniText {
     private static final String KEY_ONCE = "each key once";
@@ -25,12 +25,12 @@
     private IniText() {}
 
     /**
-     * Reads a text.
+     * Parses a text.
      *
-     * @param file its name, for findings
-     * @param text the text
-     * @param findings takes duplicate sections and keys, keys outside a section, and a text that can't be read
-     * @return the sections in the order of the text, the first value of each key
+     * @param file the file's name, used in findings
+     * @param text the INI text
+     * @param findings receives duplicate sections and keys, keys outside a section, and syntax errors
+     * @return the sections in document order, with the first value of each key
      */
     static List<IniSection> read(String file, String text, Findings findings) {
         INIConfiguration ini = new INIConfiguration();
@@ -65,13 +65,14 @@
         return new IniSection(file, header, entries);
     }
 
-    /** The INI reader merges sections of one name without a word, so that one would silently change the other. */
+    /** Reports repeated section headers. The INI parser merges sections with the same header, so that a duplicate would
+     * silently change the first one. */
     private static void reportRepeatedSections(String file, String text, Findings findings) {
         Set<String> seen = new HashSet<>();
-        for (String trimmed : text.lines().map(String::trim).toList()) {
-            boolean header = trimmed.startsWith("[") && trimmed.endsWith("]") && trimmed.length() > 1;
-            if (header && !seen.add(trimmed)) {
-                String section = trimmed.substring(1, trimmed.length() - 1).trim();
+        for (String line : text.lines().map(String::trim).toList()) {
+            boolean header = line.startsWith("[") && line.endsWith("]") && line.length() > 1;
+            if (header && !seen.add(line)) {
+                String section = line.substring(1, line.length() - 1).trim();
                 findings.add(file, section, "", "each section once", "it again");
             }
         }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/NearestName.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/NearestName.java
@@ -3,31 +3,31 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** Finds the known name that somebody probably meant, by the optimal string alignment distance. */
+/** Suggests the intended name for a misspelt one, by the optimal string alignment distance. */
 public final class NearestName {
-    /** A name counts as meant if no more than this fraction of its characters differ. */
-    private static final double LARGEST_FRACTION = 0.5;
+    /** Largest distance of a suggestion, as a fraction of the length of the longer name. */
+    private static final double MAX_DISTANCE_FRACTION = 0.5;
 
     private NearestName() {}
 
     /**
-     * Finds the nearest name.
+     * Finds the candidate with the smallest distance.
      *
-     * @param found what was written
-     * @param known the names that exist
-     * @return the nearest one, or empty if none is near
+     * @param found the name as written
+     * @param candidates the valid names
+     * @return the nearest candidate, or empty if all are too different
      */
-    public static Optional<String> of(String found, Collection<String> known) {
+    public static Optional<String> of(String found, Collection<String> candidates) {
         String nearest = null;
-        int smallest = Integer.MAX_VALUE;
-        for (String each : known) {
-            int bound = (int) (LARGEST_FRACTION * Math.max(each.length(), found.length()));
-            if (Math.abs(each.length() - found.length()) > bound) {
+        int smallestDistance = Integer.MAX_VALUE;
+        for (String each : candidates) {
+            int maxDistance = (int) (MAX_DISTANCE_FRACTION * Math.max(each.length(), found.length()));
+            if (Math.abs(each.length() - found.length()) > maxDistance) {
                 continue;
             }
             int distance = distance(found, each);
-            if (distance <= bound && distance < smallest) {
-                smallest = distance;
+            if (distance <= maxDistance && distance < smallestDistance) {
+                smallestDistance = distance;
                 nearest = each;
             }
         }
@@ -35,14 +35,16 @@
     }
 
     /**
-     * Writes what was found, with the name that was probably meant.
+     * Appends the nearest valid name to a name for an error message.
      *
-     * @param found what was written
-     * @param known the names that exist
-     * @return {@code found}, and the nearest name in brackets if there is one
+     * @param found the name as written
+     * @param candidates the valid names
+     * @return {@code found}, followed by the nearest name in parentheses if there is one
      */
-    public static String hint(String found, Collection<String> known) {
-        return of(found, known).map(name -> found + " (nearest: " + name + ")").orElse(found);
+    public static String hint(String found, Collection<String> candidates) {
+        return of(found, candidates)
+                .map(name -> found + " (nearest: " + name + ")")
+                .orElse(found);
     }
 
     private static int distance(String a, String b) {
@@ -56,10 +58,10 @@
         for (int i = 1; i <= a.length(); i++) {
             for (int j = 1; j <= b.length(); j++) {
                 boolean same = a.charAt(i - 1) == b.charAt(j - 1);
-                int replaced = distance[i - 1][j - 1] + (same ? 0 : 1);
-                int moved = 1 + Math.min(distance[i - 1][j], distance[i][j - 1]);
-                distance[i][j] = Math.min(replaced, moved);
-                if (isSwap(a, i, b, j)) {
+                int substitution = distance[i - 1][j - 1] + (same ? 0 : 1);
+                int insertionOrDeletion = 1 + Math.min(distance[i - 1][j], distance[i][j - 1]);
+                distance[i][j] = Math.min(substitution, insertionOrDeletion);
+                if (isTransposition(a, i, b, j)) {
                     distance[i][j] = Math.min(distance[i][j], 1 + distance[i - 2][j - 2]);
                 }
             }
@@ -67,7 +69,7 @@
         return distance[a.length()][b.length()];
     }
 
-    private static boolean isSwap(String a, int i, String b, int j) {
+    private static boolean isTransposition(String a, int i, String b, int j) {
         return i > 1 && j > 1 && a.charAt(i - 1) == b.charAt(j - 2) && a.charAt(i - 2) == b.charAt(j - 1);
     }
 }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/PatchText.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Patch.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads a patch and applies its changes to a draft. */
-final class PatchText {
+/** A parsed patch: a header and a list of sections to set or remove, which can be applied to a draft. */
+final class Patch {
     private static final String HEADER = "patch";
     private static final String SET = "set";
     private static final String REMOVE = "remove";
@@ -19,40 +19,40 @@
     private final String file;
     private final Findings findings;
     private final PatchHeader header;
-    private final boolean headerSound;
+    private final boolean headerValid;
     private final List<IniSection> changes = new ArrayList<>();
     private final List<String> headers = new ArrayList<>();
 
     /**
-     * Reads a patch.
+     * Parses a patch.
      *
-     * @param file its name, for findings
-     * @param text the text
-     * @param findings takes what is wrong
+     * @param file the file's name, used in findings
+     * @param text the patch as INI text
+     * @param findings receives the validation errors
      */
-    PatchText(String file, String text, Findings findings) {
+    Patch(String file, String text, Findings findings) {
         this.file = file;
         this.findings = findings;
-        IniSection head = new IniSection(file, HEADER, Map.of());
+        IniSection headerSection = new IniSection(file, HEADER, Map.of());
         for (IniSection section : IniText.read(file, text, findings)) {
             headers.add(section.header());
             if (section.header().equals(HEADER)) {
-                head = section;
+                headerSection = section;
             } else {
                 changes.add(section);
             }
         }
-        SectionReader reader = new SectionReader(head, HEADER_KEYS, findings);
+        SectionReader reader = new SectionReader(headerSection, HEADER_KEYS, findings);
         this.header = header(reader);
-        this.headerSound = reader.sound();
+        this.headerValid = reader.isValid();
         if (changes.isEmpty()) {
             findings.add(file, "", "", "at least one section [set KIND NAME] or [remove KIND NAME]", "none");
         }
     }
 
     private static PatchHeader header(SectionReader in) {
-        long base = in.required(BASE, Value.integer(0, Long.MAX_VALUE));
-        return new PatchHeader(base, in.required(AUTHOR, Value.LINE), in.required(REASON, Value.LINE));
+        long base = in.required(BASE, ValueType.integer(0, Long.MAX_VALUE));
+        return new PatchHeader(base, in.required(AUTHOR, ValueType.LINE), in.required(REASON, ValueType.LINE));
     }
 
     PatchHeader header() {
@@ -60,13 +60,13 @@
     }
 
     /**
-     * Checks that the patch was written against what is in force.
+     * Checks that the patch was written against the configuration in force.
      *
-     * @param inForce the number in force
+     * @param numberInForce the number of the configuration in force
      */
-    void checkBase(long inForce) {
-        if (headerSound && header.base() != inForce) {
-            findings.add(file, HEADER, BASE, String.valueOf(inForce), String.valueOf(header.base()));
+    void checkBase(long numberInForce) {
+        if (headerValid && header.base() != numberInForce) {
+            findings.add(file, HEADER, BASE, String.valueOf(numberInForce), String.valueOf(header.base()));
         }
     }
 
@@ -75,15 +75,15 @@
     }
 
     /**
-     * Applies the changes.
+     * Applies the changes to a draft.
      *
-     * @param draft what they are applied to
+     * @param draft the draft to modify
      */
     void applyTo(Draft draft) {
-        Set<String> touched = new HashSet<>();
+        Set<String> seenTargets = new HashSet<>();
         for (IniSection change : changes) {
             String target = change.header().substring(change.header().indexOf(' ') + 1);
-            if (!touched.add(target)) {
+            if (!seenTargets.add(target)) {
                 findings.add(file, change.header(), "", "each section changed or removed once", "it again");
                 continue;
             }
@@ -99,22 +99,22 @@
         } else if (records != null && words[0].equals(REMOVE)) {
             records.remove(change, findings);
         } else {
-            findings.add(file, change.header(), "", "a section " + known(draft), nearest(words, draft));
+            findings.add(file, change.header(), "", "a section " + allowedSections(draft), hint(words, draft));
         }
     }
 
-    private static String known(Draft draft) {
-        return "[patch], [set KIND NAME] or [remove KIND NAME] with a kind of " + String.join(", ", draft.words());
+    private static String allowedSections(Draft draft) {
+        return "[patch], [set KIND NAME] or [remove KIND NAME] with a kind of " + String.join(", ", draft.kindNames());
     }
 
-    private static String nearest(String[] words, Draft draft) {
+    private static String hint(String[] words, Draft draft) {
         String found = String.join(" ", words);
-        if (draft.words().contains(words[0])) {
+        if (draft.kindNames().contains(words[0])) {
             return found + " (nearest: " + SET + " " + found + ")";
         }
-        if (words.length < 2 || draft.words().contains(words[1])) {
+        if (words.length < 2 || draft.kindNames().contains(words[1])) {
             return NearestName.hint(found, List.of(HEADER));
         }
-        return NearestName.hint(words[1], draft.words());
+        return NearestName.hint(words[1], draft.kindNames());
     }
 }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/RequestClass.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/RequestClass.java
@@ -1,20 +1,21 @@
 package org.dotterelcourse.configuration;
 
 /**
- * A request class: what a business asks for and what it was promised.
+ * A class of requests that share an upstream, a priority, latency targets and queueing limits.
  *
  * @param name the class's name, unique in the document
- * @param upstream the upstream that serves it
- * @param model the model that serves it, empty for a plain service
+ * @param upstream the name of the upstream that serves the class
+ * @param model the model that serves the class, empty for a plain service
  * @param version the model's version, empty for a plain service
- * @param tier 1 is the highest, 4 the lowest
- * @param targetMillis the target from arrival to the first token (engine) or the whole answer (plain service)
- * @param tokenIntervalMillis the target between tokens, 0 for a plain service
- * @param idempotent whether its requests may run more than once
- * @param lateIsUseless whether an answer after its target is worth nothing
- * @param minimumShare the fraction of a cell's work that it gets under any load, 0 to 1
- * @param maxWaiting how many of its requests may wait in one cell
- * @param maxOutputTokens the most tokens an answer may have, 1 for a plain service
+ * @param tier the priority, from 1 (highest) to 4 (lowest)
+ * @param targetMillis the latency target in milliseconds from arrival to the first token (engine) or the complete
+ *     response (plain service)
+ * @param tokenIntervalMillis the target interval between output tokens in milliseconds, 0 for a plain service
+ * @param idempotent whether requests may be executed more than once
+ * @param lateIsUseless whether a response after the latency target has no value to the caller
+ * @param minimumShare the fraction of a cell's capacity guaranteed to the class under any load, from 0 to 1
+ * @param maxWaiting the maximum number of requests of the class queued in one cell
+ * @param maxOutputTokens the maximum number of output tokens per response, 1 for a plain service
  */
 public record RequestClass(
         String name,
@@ -30,15 +31,15 @@
         int maxWaiting,
         int maxOutputTokens) {
     /**
-     * Starts a request class.
+     * Creates a builder for a request class.
      *
-     * @return a builder
+     * @return a new builder
      */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Builds a request class component by component; what is left out keeps its default. Checks nothing. */
+    /** Builds a request class. Components that are not set keep their defaults; values are not validated. */
     public static final class Builder {
         private String name;
         private String upstream;
@@ -69,7 +70,7 @@
         /**
          * Sets {@link RequestClass#upstream()}.
          *
-         * @param value the upstream that serves it
+         * @param value the name of the upstream that serves the class
          * @return this builder
          */
         public Builder upstream(String value) {
@@ -80,7 +81,7 @@
         /**
          * Sets {@link RequestClass#model()}.
          *
-         * @param value the model that serves it, empty for a plain service
+         * @param value the model that serves the class, empty for a plain service
          * @return this builder
          */
         public Builder model(String value) {
@@ -102,7 +103,7 @@
         /**
          * Sets {@link RequestClass#tier()}.
          *
-         * @param value 1 is the highest, 4 the lowest
+         * @param value the priority, from 1 (highest) to 4 (lowest)
          * @return this builder
          */
         public Builder tier(int value) {
@@ -113,7 +114,8 @@
         /**
          * Sets {@link RequestClass#targetMillis()}.
          *
-         * @param value the target from arrival to the first token (engine) or the whole answer (plain service)
+         * @param value the latency target in milliseconds from arrival to the first token (engine) or the complete
+         *     response (plain service)
          * @return this builder
          */
         public Builder targetMillis(long value) {
@@ -124,7 +126,7 @@
         /**
          * Sets {@link RequestClass#tokenIntervalMillis()}.
          *
-         * @param value the target between tokens, 0 for a plain service
+         * @param value the target interval between output tokens in milliseconds, 0 for a plain service
          * @return this builder
          */
         public Builder tokenIntervalMillis(long value) {
@@ -135,7 +137,7 @@
         /**
          * Sets {@link RequestClass#idempotent()}.
          *
-         * @param value whether its requests may run more than once
+         * @param value whether requests may be executed more than once
          * @return this builder
          */
         public Builder idempotent(boolean value) {
@@ -146,7 +148,7 @@
         /**
          * Sets {@link RequestClass#lateIsUseless()}.
          *
-         * @param value whether an answer after its target is worth nothing
+         * @param value whether a response after the latency target has no value to the caller
          * @return this builder
          */
         public Builder lateIsUseless(boolean value) {
@@ -157,7 +159,7 @@
         /**
          * Sets {@link RequestClass#minimumShare()}.
          *
-         * @param value the fraction of a cell's work that it gets under any load, 0 to 1
+         * @param value the fraction of a cell's capacity guaranteed to the class under any load, from 0 to 1
          * @return this builder
          */
         public Builder minimumShare(double value) {
@@ -168,7 +170,7 @@
         /**
          * Sets {@link RequestClass#maxWaiting()}.
          *
-         * @param value how many of its requests may wait in one cell
+         * @param value the maximum number of requests of the class queued in one cell
          * @return this builder
          */
         public Builder maxWaiting(int value) {
@@ -179,7 +181,7 @@
         /**
          * Sets {@link RequestClass#maxOutputTokens()}.
          *
-         * @param value the most tokens an answer may have, 1 for a plain service
+         * @param value the maximum number of output tokens per response, 1 for a plain service
          * @return this builder
          */
         public Builder maxOutputTokens(int value) {
@@ -188,7 +190,7 @@
         }
 
         /**
-         * Ends the building.
+         * Builds the record from the values set so far, without validating them.
          *
          * @return the request class
          */
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/SectionKind.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/SectionKind.java
@@ -4,43 +4,43 @@
 import java.util.function.BiConsumer;
 
 /**
- * One kind of section in a configuration document: how its record is read and written.
+ * Maps one kind of section in a configuration document to and from its record.
  *
- * @param <T> the record
+ * @param <T> the type of the record
  */
 interface SectionKind<T> {
     /**
-     * The word that starts the section's header.
+     * Returns the first word of the section's header.
      *
-     * @return the kind's word
+     * @return the name of the kind, for example {@code class}
      */
-    String word();
+    String kindName();
 
     /**
-     * The keys that the section may have.
+     * Returns the keys that the section may contain.
      *
-     * @return the keys, in the order in which they are written
+     * @return the keys in canonical order
      */
     List<String> keys();
 
     /**
-     * Reads a section. If the reader is not sound afterwards, the result must not be used.
+     * Reads a record from a section. If the reader is not valid afterwards, the result must not be used.
      *
-     * @param in the section
+     * @param in the reader of the section
      * @return the record
      */
     T read(SectionReader in);
 
     /**
-     * Writes a record.
+     * Writes the keys and values of a record.
      *
-     * @param value the record
-     * @param entries takes its keys and values in the order of {@link #keys()}, without keys that have no value
+     * @param value the record to write
+     * @param entries receives each key and value in the order of {@link #keys()}, without keys that have no value
      */
     void write(T value, BiConsumer<String, String> entries);
 
     /**
-     * The name that the record has in its section's header.
+     * Returns the name of the record in its section's header.
      *
      * @param value the record
      * @return the name
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/SectionReader.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/SectionReader.java
@@ -3,27 +3,27 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads the keys of one section, and reports what is unknown, missing or wrong. */
+/** Reads the values of one section, and reports unknown, missing and invalid keys. */
 final class SectionReader {
     private final IniSection section;
     private final Findings findings;
-    private final int findingsBefore;
+    private final int initialFindingCount;
 
     /**
-     * Starts to read a section.
+     * Creates a reader, and reports the keys that the section may not contain.
      *
-     * @param section the section
-     * @param known the keys that it may have
-     * @param findings takes what is wrong
+     * @param section the section to read
+     * @param allowedKeys the keys that the section may contain
+     * @param findings receives the validation errors
      */
-    SectionReader(IniSection section, List<String> known, Findings findings) {
+    SectionReader(IniSection section, List<String> allowedKeys, Findings findings) {
         this.section = section;
         this.findings = findings;
-        this.findingsBefore = findings.count();
+        this.initialFindingCount = findings.count();
         for (String key : section.entries().keySet()) {
-            if (!known.contains(key)) {
+            if (!allowedKeys.contains(key)) {
                 String word = Findings.firstWord(key);
-                add(word, "one of " + String.join(", ", known), NearestName.hint(word, known));
+                add(word, "one of " + String.join(", ", allowedKeys), NearestName.hint(word, allowedKeys));
             }
         }
     }
@@ -33,52 +33,52 @@
     }
 
     /**
-     * Reads a key that must be there.
+     * Reads a mandatory key.
      *
-     * @param key the key
-     * @param value its type
-     * @return its value, or the type's placeholder after a finding
+     * @param key the name of the key
+     * @param type the type of the value
+     * @return the value, or the placeholder of the type if a finding was reported
      */
-    <T> T required(String key, Value<T> value) {
+    <T> T required(String key, ValueType<T> type) {
         String text = section.entries().get(key);
         if (text == null) {
-            add(key, value.expected(), "nothing");
-            return value.placeholder();
+            add(key, type.expected(), "nothing");
+            return type.placeholder();
         }
-        return parsed(key, value, text);
+        return parse(key, type, text);
     }
 
     /**
-     * Reads a key that may be left out.
+     * Reads an optional key.
      *
-     * @param key the key
-     * @param value its type
-     * @param otherwise the value if the key is left out
-     * @return its value, or the type's placeholder after a finding
+     * @param key the name of the key
+     * @param type the type of the value
+     * @param defaultValue the value if the key is absent
+     * @return the value, or the placeholder of the type if a finding was reported
      */
-    <T> T optional(String key, Value<T> value, T otherwise) {
+    <T> T optional(String key, ValueType<T> type, T defaultValue) {
         String text = section.entries().get(key);
-        return text == null ? otherwise : parsed(key, value, text);
+        return text == null ? defaultValue : parse(key, type, text);
     }
 
     /**
-     * Whether the section had no finding so far.
+     * Checks whether the section has had no finding so far.
      *
-     * @return true if all values that were read can be used
+     * @return true if all values read so far are valid
      */
-    boolean sound() {
-        return findings.count() == findingsBefore;
+    boolean isValid() {
+        return findings.count() == initialFindingCount;
     }
 
     void add(String key, String expected, String found) {
         findings.add(section.file(), section.header(), key, expected, found);
     }
 
-    private <T> T parsed(String key, Value<T> value, String text) {
-        Optional<T> result = value.parser().apply(text);
+    private <T> T parse(String key, ValueType<T> type, String text) {
+        Optional<T> result = type.parser().apply(text);
         if (result.isEmpty()) {
-            add(key, value.expected(), value.found(text));
+            add(key, type.expected(), type.describeInvalid(text));
         }
-        return result.orElse(value.placeholder());
+        return result.orElse(type.placeholder());
     }
 }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/SectionRecords.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/SectionRecords.java
@@ -9,23 +9,23 @@
 import java.util.Set;
 
 /**
- * The records of one kind of section in a document that is being put together.
+ * The records of one section kind in a draft.
  *
- * @param <T> the record
+ * @param <T> the type of the records
  */
 final class SectionRecords<T> {
     private final SectionKind<T> kind;
     private final Map<String, T> byName = new LinkedHashMap<>();
     private final Map<String, IniSection> origins = new HashMap<>();
     private List<T> base;
-    private final Set<String> unsound = new HashSet<>();
+    private final Set<String> invalidNames = new HashSet<>();
 
     SectionRecords(SectionKind<T> kind) {
         this.kind = kind;
     }
 
     /**
-     * Starts from the records that are in force.
+     * Loads the records of the base configuration.
      *
      * @param records the records, sorted by name
      */
@@ -35,9 +35,9 @@
     }
 
     /**
-     * All records, to be asked for only when there were no findings.
+     * Returns all records. Must be called only if there were no findings.
      *
-     * @return the records sorted by name; if none was changed the list that it started from, with its indexes
+     * @return the records sorted by name; the list passed to {@link #startFrom}, with its indexes, if no record changed
      */
     List<T> sorted() {
         if (base != null && origins.isEmpty()) {
@@ -47,24 +47,25 @@
     }
 
     /**
-     * Takes a section of a whole document.
+     * Adds a section of a complete document.
      *
-     * @param section the section
-     * @param findings takes what is wrong with it
+     * @param section the section to add
+     * @param findings receives the validation errors
      */
     void add(IniSection section, Findings findings) {
-        if (byName.containsKey(section.name()) || unsound.contains(section.name())) {
+        if (byName.containsKey(section.name()) || invalidNames.contains(section.name())) {
             findings.add(section.file(), section.header(), "", "each section once", "it again");
             return;
         }
-        readInto(section, findings);
+        readRecord(section, findings);
     }
 
     /**
-     * Takes a patch's change: its keys replace those of the section of that name, an empty value takes a key away.
+     * Applies a {@code [set KIND NAME]} section of a patch: its keys replace those of the record with that name, and an
+     * empty value removes a key.
      *
-     * @param change the change
-     * @param findings takes what is wrong with the section that results
+     * @param change the section of the patch
+     * @param findings receives the validation errors of the resulting section
      */
     void change(IniSection change, Findings findings) {
         T before = byName.get(change.name());
@@ -72,51 +73,51 @@
         if (before != null) {
             kind.write(before, entries::put);
         }
-        change.entries().forEach((key, text) -> {
-            if (text.isEmpty() && kind.keys().contains(key)) {
+        change.entries().forEach((key, value) -> {
+            if (value.isEmpty() && kind.keys().contains(key)) {
                 entries.remove(key);
             } else {
-                entries.put(key, text);
+                entries.put(key, value);
             }
         });
-        readInto(new IniSection(change.file(), change.header(), entries), findings);
+        readRecord(new IniSection(change.file(), change.header(), entries), findings);
     }
 
     /**
-     * Takes a patch's removal.
+     * Applies a {@code [remove KIND NAME]} section of a patch.
      *
-     * @param removal the section that names what goes
-     * @param findings takes what is wrong with it
+     * @param removal the section that names the record to remove
+     * @param findings receives the validation errors
      */
     void remove(IniSection removal, Findings findings) {
         String name = removal.name();
         origins.put(name, removal);
         if (byName.remove(name) == null) {
             String found = NearestName.hint(name, byName.keySet());
-            findings.add(removal.file(), removal.header(), "", "the name of a " + kind.word(), found);
+            findings.add(removal.file(), removal.header(), "", "the name of a " + kind.kindName(), found);
         }
         for (String key : removal.entries().keySet()) {
             findings.add(removal.file(), removal.header(), key, "no keys in a removal", key);
         }
     }
 
-    private void readInto(IniSection section, Findings findings) {
+    private void readRecord(IniSection section, Findings findings) {
         SectionReader reader = new SectionReader(section, kind.keys(), findings);
-        if (Value.NAMED.parser().apply(section.name()).isEmpty()) {
-            reader.add("", Value.NAMED.expected(), section.name());
+        if (ValueType.NAME.parser().apply(section.name()).isEmpty()) {
+            reader.add("", ValueType.NAME.expected(), section.name());
         }
         T value = kind.read(reader);
         origins.put(section.name(), section);
-        if (reader.sound()) {
+        if (reader.isValid()) {
             byName.put(section.name(), value);
         } else {
             byName.remove(section.name());
-            unsound.add(section.name());
+            invalidNames.add(section.name());
         }
     }
 
     /**
-     * The records that were read without a finding.
+     * Returns the records that were read without a finding.
      *
      * @return the records by name
      */
@@ -125,32 +126,32 @@
     }
 
     /**
-     * Whether there is no section of this kind, not even one with findings of its own.
+     * Checks whether there is no section of this kind, not even an invalid one.
      *
-     * @return true if there is none
+     * @return true if there is no section
      */
     boolean isEmpty() {
-        return byName.isEmpty() && unsound.isEmpty();
+        return byName.isEmpty() && invalidNames.isEmpty();
     }
 
     /**
-     * Whether a section of that name exists, even one with findings of its own.
+     * Checks whether a section with the given name exists, even an invalid one.
      *
-     * @param name the name
-     * @return true if something may refer to it
+     * @param name the name of the record
+     * @return true if the section exists, so that references to it are accepted
      */
     boolean exists(String name) {
-        return byName.containsKey(name) || unsound.contains(name);
+        return byName.containsKey(name) || invalidNames.contains(name);
     }
 
     /**
-     * Where a record comes from.
+     * Returns the section that defines a record.
      *
-     * @param file the file to name if the record was there before
+     * @param file the file name to report if the record comes from the base configuration
      * @param name the record's name
-     * @return its section
+     * @return the section of the text, or an empty one with the same header for a record of the base configuration
      */
     IniSection origin(String file, String name) {
-        return origins.getOrDefault(name, new IniSection(file, kind.word() + " " + name, Map.of()));
+        return origins.getOrDefault(name, new IniSection(file, kind.kindName() + " " + name, Map.of()));
     }
 }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Upstream.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Upstream.java
@@ -7,11 +7,11 @@
  *
  * @param name the upstream's name, unique in the document
  * @param kind engine or plain service
- * @param region the region its workers stand in
- * @param fencing whether its workers refuse an order that carries an old fencing number
- * @param concurrency how many requests one worker may run at once
- * @param loadsPerMinute how many orders to load from the weight store its workers may be given a minute, 0 for a plain
- *     service
+ * @param region the region of its workers
+ * @param fencing whether its workers reject an order with an outdated fencing number
+ * @param concurrency the maximum number of requests that one worker processes concurrently
+ * @param loadsPerMinute the maximum number of orders to load model weights from the weight store that are sent to its
+ *     workers, per minute, 0 for a plain service
  * @param workers its workers
  */
 public record Upstream(
@@ -23,50 +23,50 @@
         int loadsPerMinute,
         List<Worker> workers) {
     /**
-     * An upstream that is given no orders to load.
+     * Creates an upstream whose workers receive no orders to load model weights.
      *
      * @param name the upstream's name
      * @param kind engine or plain service
-     * @param region the region its workers stand in
-     * @param fencing whether its workers refuse an order that carries an old fencing number
-     * @param concurrency how many requests one worker may run at once
+     * @param region the region of its workers
+     * @param fencing whether its workers reject an order with an outdated fencing number
+     * @param concurrency the maximum number of requests that one worker processes concurrently
      * @param workers its workers
      */
     public Upstream(String name, Kind kind, String region, Fencing fencing, int concurrency, List<Worker> workers) {
         this(name, kind, region, fencing, concurrency, 0, workers);
     }
 
-    /** Keeps a copy of the list of workers. */
+    /** Copies the list of workers. */
     public Upstream {
         workers = List.copyOf(workers);
     }
 
-    /** What the workers are. */
+    /** The type of the workers. */
     public enum Kind {
-        /** A model engine. */
+        /** Inference engines that serve language models. */
         ENGINE,
-        /** A plain service. */
+        /** Instances of a plain service without a model. */
         SERVICE
     }
 
-    /** What a worker does with an order's fencing number. */
+    /** How a worker handles the fencing number of an order. */
     public enum Fencing {
-        /** It refuses an order whose number is lower than one it has seen. */
+        /** The worker rejects an order with a lower number than the highest it has seen. */
         CHECKED,
-        /** It ignores the number. */
+        /** The worker ignores the number. */
         IGNORED
     }
 
     /**
-     * Starts an upstream.
+     * Creates a builder for an upstream.
      *
-     * @return a builder
+     * @return a new builder
      */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Builds an upstream component by component; what is left out keeps its default. Checks nothing. */
+    /** Builds an upstream. Components that are not set keep their defaults; values are not validated. */
     public static final class Builder {
         private String name;
         private Kind kind = Kind.ENGINE;
@@ -103,7 +103,7 @@
         /**
          * Sets {@link Upstream#region()}.
          *
-         * @param value the region its workers stand in
+         * @param value the region of its workers
          * @return this builder
          */
         public Builder region(String value) {
@@ -114,7 +114,7 @@
         /**
          * Sets {@link Upstream#fencing()}.
          *
-         * @param value whether its workers refuse an order that carries an old fencing number
+         * @param value whether its workers reject an order with an outdated fencing number
          * @return this builder
          */
         public Builder fencing(Fencing value) {
@@ -125,7 +125,7 @@
         /**
          * Sets {@link Upstream#concurrency()}.
          *
-         * @param value how many requests one worker may run at once
+         * @param value the maximum number of requests that one worker processes concurrently
          * @return this builder
          */
         public Builder concurrency(int value) {
@@ -136,7 +136,7 @@
         /**
          * Sets {@link Upstream#loadsPerMinute()}.
          *
-         * @param value how many orders to load from the weight store its workers may be given a minute, 0 for a plain service
+         * @param value the maximum number of orders to load model weights per minute, 0 for a plain service
          * @return this builder
          */
         public Builder loadsPerMinute(int value) {
@@ -156,7 +156,7 @@
         }
 
         /**
-         * Ends the building.
+         * Builds the record from the values set so far, without validating them.
          *
          * @return the upstream
          */
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/UpstreamSection.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/UpstreamSection.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** {@code [upstream NAME]}: an upstream, without its workers. */
+/** Reads and writes {@code [upstream NAME]} sections, which define upstreams without their workers. */
 final class UpstreamSection implements SectionKind<Upstream> {
     static final String KIND = "kind";
     static final String REGION = "region";
@@ -11,16 +11,16 @@
     static final String CONCURRENCY = "concurrency";
     static final String LOADS_PER_MINUTE = "loads-per-minute";
 
-    private static final Value<Upstream.Kind> KIND_VALUE = Value.oneOf(Upstream.Kind.class);
-    private static final Value<Upstream.Fencing> FENCING_VALUE = Value.oneOf(Upstream.Fencing.class);
-    private static final Value<Long> CONCURRENCY_VALUE = Value.integer(1, 100_000);
-    private static final Value<Long> LOADS = Value.integer(0, 10_000);
+    private static final ValueType<Upstream.Kind> KIND_TYPE = ValueType.oneOf(Upstream.Kind.class);
+    private static final ValueType<Upstream.Fencing> FENCING_TYPE = ValueType.oneOf(Upstream.Fencing.class);
+    private static final ValueType<Long> CONCURRENCY_TYPE = ValueType.integer(1, 100_000);
+    private static final ValueType<Long> LOADS_PER_MINUTE_TYPE = ValueType.integer(0, 10_000);
     private static final long DEFAULT_LOADS_PER_MINUTE = 6;
 
     private static final List<String> KEYS = List.of(KIND, REGION, FENCING, CONCURRENCY, LOADS_PER_MINUTE);
 
     @Override
-    public String word() {
+    public String kindName() {
         return "upstream";
     }
 
@@ -31,23 +31,24 @@
 
     @Override
     public Upstream read(SectionReader in) {
-        Upstream.Kind kind = in.required(KIND, KIND_VALUE);
-        String region = in.required(REGION, Value.NAMED);
-        Upstream.Fencing fencing = in.optional(FENCING, FENCING_VALUE, Upstream.Fencing.IGNORED);
-        int concurrency = in.required(CONCURRENCY, CONCURRENCY_VALUE).intValue();
-        long usual = kind == Upstream.Kind.ENGINE ? DEFAULT_LOADS_PER_MINUTE : 0;
-        int loads = in.optional(LOADS_PER_MINUTE, LOADS, usual).intValue();
-        if (kind == Upstream.Kind.SERVICE && loads != 0) {
-            in.add(LOADS_PER_MINUTE, "0 for a plain service", String.valueOf(loads));
+        Upstream.Kind kind = in.required(KIND, KIND_TYPE);
+        String region = in.required(REGION, ValueType.NAME);
+        Upstream.Fencing fencing = in.optional(FENCING, FENCING_TYPE, Upstream.Fencing.IGNORED);
+        int concurrency = in.required(CONCURRENCY, CONCURRENCY_TYPE).intValue();
+        long defaultLoadsPerMinute = kind == Upstream.Kind.ENGINE ? DEFAULT_LOADS_PER_MINUTE : 0;
+        int loadsPerMinute = in.optional(LOADS_PER_MINUTE, LOADS_PER_MINUTE_TYPE, defaultLoadsPerMinute)
+                .intValue();
+        if (kind == Upstream.Kind.SERVICE && loadsPerMinute != 0) {
+            in.add(LOADS_PER_MINUTE, "0 for a plain service", String.valueOf(loadsPerMinute));
         }
-        return new Upstream(in.name(), kind, region, fencing, concurrency, loads, List.of());
+        return new Upstream(in.name(), kind, region, fencing, concurrency, loadsPerMinute, List.of());
     }
 
     @Override
     public void write(Upstream value, BiConsumer<String, String> entries) {
-        entries.accept(KIND, Value.word(value.kind()));
+        entries.accept(KIND, ValueType.lowerCaseName(value.kind()));
         entries.accept(REGION, value.region());
-        entries.accept(FENCING, Value.word(value.fencing()));
+        entries.accept(FENCING, ValueType.lowerCaseName(value.fencing()));
         entries.accept(CONCURRENCY, String.valueOf(value.concurrency()));
         entries.accept(LOADS_PER_MINUTE, String.valueOf(value.loadsPerMinute()));
     }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Worker.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/Worker.java
@@ -1,20 +1,20 @@
 package org.dotterelcourse.configuration;
 
 /**
- * One worker of an upstream.
+ * A worker of an upstream: one engine or service instance.
  *
  * @param name the worker's name, unique in the document
- * @param address its IP number and port, as in {@code 127.0.0.1:9101}
- * @param dataCentre its data centre
- * @param leaving whether it is to get no new work
+ * @param address the IP address and port, for example {@code 127.0.0.1:9101}
+ * @param dataCentre the data centre of the worker
+ * @param leaving whether the worker is being drained and must receive no new requests
  */
 public record Worker(String name, String address, String dataCentre, boolean leaving) {
     /**
-     * A worker that takes work.
+     * Creates a worker that accepts requests.
      *
      * @param name the worker's name
-     * @param address its IP number and port
-     * @param dataCentre its data centre
+     * @param address the IP address and port
+     * @param dataCentre the data centre of the worker
      */
     public Worker(String name, String address, String dataCentre) {
         this(name, address, dataCentre, false);
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/WorkerSection.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/WorkerSection.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** {@code [worker NAME]}: a worker of an upstream. */
-final class WorkerSection implements SectionKind<PlacedWorker> {
+/** Reads and writes {@code [worker NAME]} sections, which assign workers to upstreams. */
+final class WorkerSection implements SectionKind<UpstreamWorker> {
     static final String UPSTREAM = "upstream";
     static final String ADDRESS = "address";
     static final String DATA_CENTRE = "data-centre";
@@ -13,7 +13,7 @@
     private static final List<String> KEYS = List.of(UPSTREAM, ADDRESS, DATA_CENTRE, LEAVING);
 
     @Override
-    public String word() {
+    public String kindName() {
         return "worker";
     }
 
@@ -23,16 +23,16 @@
     }
 
     @Override
-    public PlacedWorker read(SectionReader in) {
-        String upstream = in.required(UPSTREAM, Value.NAMED);
-        String address = in.required(ADDRESS, Value.ADDRESS);
-        String dataCentre = in.required(DATA_CENTRE, Value.NAMED);
-        boolean leaving = in.optional(LEAVING, Value.BOOLEAN, false);
-        return new PlacedWorker(upstream, new Worker(in.name(), address, dataCentre, leaving));
+    public UpstreamWorker read(SectionReader in) {
+        String upstream = in.required(UPSTREAM, ValueType.NAME);
+        String address = in.required(ADDRESS, ValueType.ADDRESS);
+        String dataCentre = in.required(DATA_CENTRE, ValueType.NAME);
+        boolean leaving = in.optional(LEAVING, ValueType.BOOLEAN, false);
+        return new UpstreamWorker(upstream, new Worker(in.name(), address, dataCentre, leaving));
     }
 
     @Override
-    public void write(PlacedWorker value, BiConsumer<String, String> entries) {
+    public void write(UpstreamWorker value, BiConsumer<String, String> entries) {
         entries.accept(UPSTREAM, value.upstream());
         entries.accept(ADDRESS, value.worker().address());
         entries.accept(DATA_CENTRE, value.worker().dataCentre());
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public String name(PlacedWorker value) {
+    public String name(UpstreamWorker value) {
         return value.worker().name();
     }
 }
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/package-info.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration document, its patches, and the daemon's settings: read, checked whole, and held as records. */
+/** Parsing, validation and canonical rendering of configuration documents, patches and settings files. */
 package org.dotterelcourse.configuration;
--- a/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/ConfigurationMeasurement.java
+++ b/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/ConfigurationMeasurement.java
@@ -12,14 +12,14 @@
 import com.sun.management.ThreadMXBean;
 
 /**
- * Prints what it costs to read a whole document and to fold a patch of one key, by the number of customers. Run by
- * hand; docs/measurements/CONFIGURATION.md holds a table and the command.
+ * Measures the time and memory needed to read a document, to apply a patch of one key and to render the result, by
+ * number of customers. Run by hand; docs/measurements/CONFIGURATION.md contains the results and the command.
  */
 public final class ConfigurationMeasurement {
-    private static final int[] CUSTOMERS = {100, 1_000, 5_000, 18_000};
+    private static final int[] CUSTOMER_COUNTS = {100, 1_000, 5_000, 18_000};
     private static final int WARM_UP_ROUNDS = 20;
     private static final int ROUNDS = 31;
-    private static final long LARGEST_VALUE_BYTES = 1 << 20;
+    private static final long MAX_VALUE_BYTES = 1 << 20;
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double BYTES_PER_MEGABYTE = 1 << 20;
     private static final String PATCH = """
@@ -35,33 +35,33 @@
     private ConfigurationMeasurement() {}
 
     /**
-     * Prints the table.
+     * Prints the results as a table.
      *
-     * @param args the path of the document that the customers are added to
-     * @throws IOException if it can't be read
+     * @param args the path of the document to which customers are added
+     * @throws IOException if the document can't be read
      */
     public static void main(String[] args) throws IOException {
-        String start = Files.readString(Path.of(args[0]));
+        String template = Files.readString(Path.of(args[0]));
         System.out.printf(
                 "java %s, %d processors%n",
                 Runtime.version(), Runtime.getRuntime().availableProcessors());
         System.out.println("| customers | document MB | held MB | read ms | read allocates MB | fold ms | fold worst ms"
                 + " | fold allocates MB | render ms | render allocates MB |");
         System.out.println("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
-        for (int customers : CUSTOMERS) {
-            System.out.println(row(start, customers));
+        for (int customers : CUSTOMER_COUNTS) {
+            System.out.println(row(template, customers));
         }
-        System.out.println("customers that fit a value of 1 MB: " + customersThatFit(start));
+        System.out.println("customers that fit a value of 1 MB: " + customersThatFitLargestValue(template));
     }
 
-    private static String row(String start, int customers) {
+    private static String row(String template, int customers) {
         IniConfigurationReader reader = new IniConfigurationReader();
-        String text = document(start, customers);
-        double size = text.getBytes(StandardCharsets.UTF_8).length / BYTES_PER_MEGABYTE;
+        String text = document(template, customers);
+        double documentMegabytes = text.getBytes(StandardCharsets.UTF_8).length / BYTES_PER_MEGABYTE;
         Cost read = cost(() -> reader.read(1, "whole", text));
-        long before = usedHeap();
+        long heapBefore = usedHeap();
         Configuration base = valid(reader.read(1, "whole", text));
-        double held = (usedHeap() - before) / BYTES_PER_MEGABYTE;
+        double heldMegabytes = (usedHeap() - heapBefore) / BYTES_PER_MEGABYTE;
         int[] rate = {1};
         Cost fold = cost(() -> reader.fold(base, 2, "patch", PATCH.formatted(rate[0]++)));
         Cost render = cost(() -> ConfigurationText.render(base));
@@ -69,8 +69,8 @@
                 Locale.ROOT,
                 "| %d | %.2f | %.1f | %.2f | %.1f | %.2f | %.2f | %.2f | %.2f | %.2f |",
                 customers,
-                size,
-                held,
+                documentMegabytes,
+                heldMegabytes,
                 read.medianMillis,
                 read.allocatedMegabytes,
                 fold.medianMillis,
@@ -82,7 +82,7 @@
 
     private static Cost cost(Supplier<?> operation) {
         for (int round = 0; round < WARM_UP_ROUNDS; round++) {
-            checkRead(operation.get());
+            requireValid(operation.get());
         }
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         double[] millis = new double[ROUNDS];
@@ -91,7 +91,7 @@
             long start = System.nanoTime();
             Object result = operation.get();
             millis[round] = (System.nanoTime() - start) / NANOS_PER_MILLI;
-            checkRead(result);
+            requireValid(result);
         }
         long allocated = threads.getCurrentThreadAllocatedBytes() - allocatedBefore;
         Arrays.sort(millis);
@@ -105,25 +105,25 @@
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    private static void checkRead(Object result) {
+    private static void requireValid(Object result) {
         if (result instanceof Checked.Invalid<?> invalid) {
             throw new IllegalStateException(invalid.findings().toString());
         }
     }
 
     private static Configuration valid(Checked<Configuration> checked) {
-        checkRead(checked);
+        requireValid(checked);
         return ((Checked.Valid<Configuration>) checked).value();
     }
 
-    private static long customersThatFit(String start) {
-        long without = document(start, 0).length();
-        long each = document(start, 1).length() - without;
-        return (LARGEST_VALUE_BYTES - without) / each;
+    private static long customersThatFitLargestValue(String template) {
+        long lengthWithoutCustomers = document(template, 0).length();
+        long lengthPerCustomer = document(template, 1).length() - lengthWithoutCustomers;
+        return (MAX_VALUE_BYTES - lengthWithoutCustomers) / lengthPerCustomer;
     }
 
-    private static String document(String start, int customers) {
-        StringBuilder text = new StringBuilder(start);
+    private static String document(String template, int customers) {
+        StringBuilder text = new StringBuilder(template);
         for (int i = 0; i < customers; i++) {
             String name = "customer-%05d".formatted(i);
             text.append("\n[customer ").append(name).append("]\nkey-sha256 = ").append(ConfigurationText.sha256(name));
--- a/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/ConfigurationPropertiesTest.java
+++ b/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/ConfigurationPropertiesTest.java
@@ -17,41 +17,41 @@
 
 class ConfigurationPropertiesTest {
     private static final String SEED = "20261202";
-    private static final double LEAST_ACCEPTED_PERCENT = 25;
-    private static final String HEAD = "[patch]\nbase = %d\nauthor = a\nreason = r\n";
+    private static final double MIN_ACCEPTED_PERCENT = 25;
+    private static final String HEADER = "[patch]\nbase = %d\nauthor = a\nreason = r\n";
 
     private final IniConfigurationReader reader = new IniConfigurationReader();
 
     @Property(seed = SEED, tries = 200)
-    void foldingPatchesInOrderGivesTheSameAsTheWholeDocumentOfTheResult(@ForAll("patches") List<String> patches) {
-        Configuration folded = Texts.small();
+    void applyingPatchesInOrderEqualsReadingTheRenderedResult(@ForAll("patches") List<String> patches) {
+        Configuration patched = Texts.small();
         for (String patch : patches) {
-            String text = HEAD.formatted(folded.number()) + patch;
-            Checked<Configuration> result = reader.fold(folded, folded.number() + 1, "patch", text);
+            String text = HEADER.formatted(patched.number()) + patch;
+            Checked<Configuration> result = reader.fold(patched, patched.number() + 1, "patch", text);
             Statistics.label("accepted").collect(result instanceof Checked.Valid);
-            folded = result instanceof Checked.Valid<Configuration> valid ? valid.value() : folded;
+            patched = result instanceof Checked.Valid<Configuration> valid ? valid.value() : patched;
         }
 
         Statistics.label("accepted")
-                .coverage(each -> each.check(true).percentage(share -> share > LEAST_ACCEPTED_PERCENT));
-        String text = ConfigurationText.render(folded);
-        Configuration whole = Texts.valid(reader.read(folded.number(), "whole", text));
+                .coverage(each -> each.check(true).percentage(share -> share > MIN_ACCEPTED_PERCENT));
+        String text = ConfigurationText.render(patched);
+        Configuration reread = Texts.valid(reader.read(patched.number(), "whole", text));
 
-        assertThat(whole).isEqualTo(folded);
-        assertThat(ConfigurationText.render(whole)).isEqualTo(text);
+        assertThat(reread).isEqualTo(patched);
+        assertThat(ConfigurationText.render(reread)).isEqualTo(text);
     }
 
     /**
-     * A published patch has a mistake in its last section. If the sections before it had an effect, a daemon would serve
-     * by rules that nobody published, and others by other ones.
+     * A published patch contains an error in its last section. If the earlier sections took effect, a daemon would apply
+     * a configuration that was never published, and daemons could diverge.
      */
     @Property(seed = SEED, tries = 200)
-    void aRefusedPatchChangesNothing(@ForAll("patches") List<String> patches) {
+    void aRejectedPatchChangesNothing(@ForAll("patches") List<String> patches) {
         Configuration base = Texts.small();
         String before = ConfigurationText.render(base);
         for (String patch : patches) {
             Checked<Configuration> result =
-                    reader.fold(base, 2, "patch", HEAD.formatted(1) + patch + "[set class chat]\ntier = 9\n");
+                    reader.fold(base, 2, "patch", HEADER.formatted(1) + patch + "[set class chat]\ntier = 9\n");
             assertThat(Texts.findings(result)).isNotEmpty();
         }
 
@@ -60,28 +60,30 @@
     }
 
     @Property(seed = SEED, tries = 200)
-    void theOrderOfTheChangesOfOnePatchHasNoEffect(@ForAll("changes") Map<String, String> changes) {
+    void theOrderOfChangesWithinAPatchHasNoEffect(@ForAll("changes") Map<String, String> changes) {
         List<String> forwards = new ArrayList<>(changes.values());
         List<String> backwards = new ArrayList<>();
         forwards.forEach(each -> backwards.add(0, each));
 
-        Checked<Configuration> one = reader.fold(Texts.small(), 2, "p", HEAD.formatted(1) + String.join("", forwards));
-        Checked<Configuration> other =
-                reader.fold(Texts.small(), 2, "p", HEAD.formatted(1) + String.join("", backwards));
+        Checked<Configuration> forwardsResult =
+                reader.fold(Texts.small(), 2, "p", HEADER.formatted(1) + String.join("", forwards));
+        Checked<Configuration> backwardsResult =
+                reader.fold(Texts.small(), 2, "p", HEADER.formatted(1) + String.join("", backwards));
 
-        if (one instanceof Checked.Valid<Configuration> valid) {
-            assertThat(Texts.valid(other)).isEqualTo(valid.value());
+        if (forwardsResult instanceof Checked.Valid<Configuration> valid) {
+            assertThat(Texts.valid(backwardsResult)).isEqualTo(valid.value());
         } else {
-            assertThat(Texts.findings(other)).containsExactlyInAnyOrderElementsOf(Texts.findings(one));
+            assertThat(Texts.findings(backwardsResult))
+                    .containsExactlyInAnyOrderElementsOf(Texts.findings(forwardsResult));
         }
     }
 
     /**
-     * Something that is no document is published, or a file of another kind is named to the tool. An exception would end
-     * the thread that reads, and the daemon would take no later configuration either.
+     * Arbitrary text is published as a document, or passed to the command-line tool. An exception would terminate the
+     * thread that reads configurations, so that the daemon would not apply any later configuration.
      */
     @Property(seed = SEED, tries = 1000)
-    void garbageGivesFindingsAndNoException(@ForAll("garbage") String text) {
+    void arbitraryTextYieldsFindingsAndNoException(@ForAll("garbage") String text) {
         assertThat(Texts.findings(reader.read(1, "garbage", text))).isNotEmpty();
         assertThat(Texts.findings(reader.fold(Texts.small(), 2, "garbage", text)))
                 .isNotEmpty();
@@ -89,12 +91,12 @@
                 .isNotEmpty();
     }
 
-    /** A document arrives without its end. What is left is read if it is a whole document by itself, else refused. */
+    /** A document is truncated in transit. The remainder is accepted only if it is a complete document by itself. */
     @Property(seed = SEED, tries = 300)
-    void aDocumentThatIsCutOffNeverThrows(@ForAll("cuts") int length) {
-        Checked<Configuration> cut = reader.read(1, "cut", Texts.SMALL.substring(0, length));
+    void readingATruncatedDocumentNeverThrows(@ForAll("cuts") int length) {
+        Checked<Configuration> truncated = reader.read(1, "cut", Texts.SMALL.substring(0, length));
 
-        if (cut instanceof Checked.Valid<Configuration> valid) {
+        if (truncated instanceof Checked.Valid<Configuration> valid) {
             assertThat(valid.value().upstreams()).hasSize(2);
         }
     }
@@ -152,7 +154,7 @@
     }
 
     private static Arbitrary<String> change() {
-        Arbitrary<String> chat = Combinators.combine(
+        Arbitrary<String> requestClass = Combinators.combine(
                         Arbitraries.of("chat", "talk", "lookup"),
                         Arbitraries.integers().between(0, 5),
                         shares())
@@ -173,7 +175,7 @@
                 .as("[set worker %s]\nupstream = llm\naddress = 10.0.0.%d:9101\ndata-centre = hall\n"::formatted);
         Arbitrary<String> removal = Arbitraries.of("class talk", "customer mill", "worker llm-2", "upstream api")
                 .map("[remove %s]\n"::formatted);
-        return Arbitraries.oneOf(chat, customer, worker, removal);
+        return Arbitraries.oneOf(requestClass, customer, worker, removal);
     }
 
     private static Arbitrary<String> shares() {
--- a/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/DaemonSettingsReaderTest.java
+++ b/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/DaemonSettingsReaderTest.java
@@ -8,7 +8,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class DaemonSettingsReaderTest {
-    private static final String LEAST = """
+    private static final String MINIMAL = """
             [daemon]
             name = entry-1
             data-centre = hall
@@ -23,8 +23,8 @@
     private final DaemonSettingsReader reader = new DaemonSettingsReader();
 
     @Test
-    void whatIsLeftOutHasItsDefault() {
-        DaemonSettings settings = Texts.valid(reader.read("d.ini", LEAST));
+    void omittedKeysHaveTheirDefaults() {
+        DaemonSettings settings = Texts.valid(reader.read("d.ini", MINIMAL));
 
         assertThat(settings)
                 .isEqualTo(DaemonSettings.builder()
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void anEmptyFileIsReportedWithEveryKeyThatIsNeeded() {
+    void anEmptyFileIsReportedWithEveryRequiredKey() {
         assertThat(Texts.findings(reader.read("d.ini", "")))
                 .extracting(each -> each.section() + "/" + each.key())
                 .containsExactly(
@@ -55,8 +55,8 @@
     }
 
     @Test
-    void mistakesAreReportedTogetherWithTheNearestKnownName() {
-        String text = LEAST.replace("region", "regoin").replace("10.0.0.1", "localhost")
+    void allFindingsAreReportedTogetherWithTheNearestValidNames() {
+        String text = MINIMAL.replace("region", "regoin").replace("10.0.0.1", "localhost")
                 + "reads-per-second = 0\n[egde]\n[edge]\nmax-body-bytes = 12\n";
 
         List<Finding> findings = Texts.findings(reader.read("d.ini", text));
@@ -73,17 +73,18 @@
     }
 
     /**
-     * Two ports are set to the same number. The daemon would start, serve callers, and fail only when it begins to
-     * listen for operators.
+     * Two ports are configured with the same number. Without this check, the daemon would start, serve callers, and
+     * fail only when it opens the listener for operators.
      */
     @Test
-    void twoServersMayNotListenOnTheSamePortButEachMayTakeAnyFreeOne() {
-        String same = LEAST.replace("[platform]", "callers-port = 9090\npeers-port = 9090\n[platform]");
-        String free = LEAST.replace("[platform]", "callers-port = 0\noperators-port = 0\npeers-port = 0\n[platform]");
+    void listenersMayNotShareAPortButEachMayUseAnyFreePort() {
+        String samePort = MINIMAL.replace("[platform]", "callers-port = 9090\npeers-port = 9090\n[platform]");
+        String anyFreePort =
+                MINIMAL.replace("[platform]", "callers-port = 0\noperators-port = 0\npeers-port = 0\n[platform]");
 
-        assertThat(Texts.findings(reader.read("d.ini", same)))
+        assertThat(Texts.findings(reader.read("d.ini", samePort)))
                 .extracting(Finding::key)
                 .containsExactly("operators-port", "peers-port");
-        assertThat(Texts.valid(reader.read("d.ini", free)).callersPort()).isZero();
+        assertThat(Texts.valid(reader.read("d.ini", anyFreePort)).callersPort()).isZero();
     }
 }
--- a/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/ExamplesTest.java
+++ b/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/ExamplesTest.java
@@ -18,7 +18,7 @@
         "sabla, sabla-llm, 13, counter-api, 3, bank-1, example-key-bank-1",
         "van-dorsselaer, kasmodel, 6, kasboek, 3, parents-app, example-key-parents-app"
     })
-    void aDeploymentsDocumentHasTheSizesOfTheDeployment(
+    void anExampleDocumentContainsTheWorkersAndCustomersOfItsDeployment(
             String deployment,
             String engines,
             int engineCount,
@@ -39,7 +39,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"sabla", "van-dorsselaer"})
-    void aDeploymentsPatchAppliesToItsDocument(String deployment) throws IOException {
+    void anExamplePatchAppliesToItsDocument(String deployment) throws IOException {
         Configuration base = document(deployment);
 
         Checked<Configuration> patched =
@@ -51,7 +51,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"sabla", "van-dorsselaer"})
-    void aDeploymentsDaemonSettingsAreRight(String deployment) throws IOException {
+    void exampleDaemonSettingsAreValid(String deployment) throws IOException {
         Checked<DaemonSettings> settings =
                 new DaemonSettingsReader().read("daemon.ini", text(deployment, "daemon.ini"));
 
--- a/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/GatewaySettingsReaderTest.java
+++ b/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/GatewaySettingsReaderTest.java
@@ -10,7 +10,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class GatewaySettingsReaderTest {
-    private static final String RIGHT = """
+    private static final String VALID = """
             [daemon]
             name = edge-1
             data-centre = a
@@ -36,7 +36,7 @@
 
     @Test
     void readsEveryKey() {
-        assertThat(reader.read("f", RIGHT)).isInstanceOfSatisfying(Checked.Valid.class, valid -> {
+        assertThat(reader.read("f", VALID)).isInstanceOfSatisfying(Checked.Valid.class, valid -> {
             GatewaySettings settings = (GatewaySettings) valid.value();
             assertThat(settings.grace()).isEqualTo(Duration.ofSeconds(8));
             assertThat(settings.seeds()).isEqualTo(List.of("10.0.0.1:8229", "10.0.0.2:8229"));
@@ -46,12 +46,11 @@
         });
     }
 
-    // An evacuation may have to be in force sooner than a configuration; a deployment without any asks for no time of
-    // its
-    // own.
+    // Evacuations may require a shorter time than configurations. A deployment without evacuations sets no time for
+    // them.
     @Test
-    void theShortestOfTheTimesGivenIsTheOneForAllChanges() {
-        String text = RIGHT.replace("seeds =", "evacuation-milliseconds = 2500\nseeds =");
+    void theShortestConfiguredTimeAppliesToAllChanges() {
+        String text = VALID.replace("seeds =", "evacuation-milliseconds = 2500\nseeds =");
         assertThat(reader.read("f", text))
                 .isInstanceOfSatisfying(
                         Checked.Valid.class,
@@ -60,9 +59,9 @@
     }
 
     @Test
-    void takesTheShortestTimeForChangesWhereNoneIsGiven() {
+    void changesMustBeInForceWithinTwoSecondsByDefault() {
         String text =
-                RIGHT.replace("configuration-milliseconds = 4000\n", "").replace("leaving-milliseconds = 3000\n", "");
+                VALID.replace("configuration-milliseconds = 4000\n", "").replace("leaving-milliseconds = 3000\n", "");
         assertThat(reader.read("f", text))
                 .isInstanceOfSatisfying(
                         Checked.Valid.class,
@@ -70,13 +69,12 @@
                                 .isEqualTo(Duration.ofSeconds(2)));
     }
 
-    // The platform fills in a figure that it has worked out, with all digits of a double. Were it refused, no process
-    // of
-    // that deployment would start, and every client would find nobody.
+    // The platform writes computed values with all digits of a double. Rejecting them would prevent every gateway
+    // process of the deployment from starting.
     @ParameterizedTest
     @CsvSource({"37.45454545454545,37.45454545454545", "0.10000000000000000555,0.1", "5.6E+1,56", "1e-05,0.00001"})
-    void readsFractionsAsOtherProgramsWriteThem(String written, double value) {
-        String text = RIGHT.replace("extra = 56", "extra = " + written);
+    void readsFractionsWithAllDigitsOrAnExponent(String written, double value) {
+        String text = VALID.replace("extra = 56", "extra = " + written);
         assertThat(reader.read("f", text))
                 .isInstanceOfSatisfying(
                         Checked.Valid.class,
@@ -86,13 +84,13 @@
 
     @Test
     void allowsAnEmptyListOfSeeds() {
-        String text = RIGHT.replace("10.0.0.1:8229,10.0.0.2:8229", "");
+        String text = VALID.replace("10.0.0.1:8229,10.0.0.2:8229", "");
         assertThat(reader.read("f", text)).isInstanceOf(Checked.Valid.class);
     }
 
     @Test
-    void reportsAllThatIsWrongTogether() {
-        String text = RIGHT.replace("10.9.0.1:8223", "store.example:1")
+    void reportsAllFindingsTogether() {
+        String text = VALID.replace("10.9.0.1:8223", "store.example:1")
                 .replace("ratio = 0.2\n", "")
                 .replace("10.0.0.2:8229", "x")
                 .replace("readiness", "readyness")
--- a/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/IniConfigurationReaderTest.java
+++ b/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/IniConfigurationReaderTest.java
@@ -57,21 +57,22 @@
                 "[class lookup] | [class chat] | class chat | | each section once | it again",
                 "fencing = checked | fencing = checked\\nfencing = ignored | upstream llm | fencing | each key once | it again",
             })
-    void oneMistakeIsFoundWithItsPlaceAndWhatWasExpected(
-            String right, String wrong, String section, String key, String expected, String found) {
-        String text = Texts.SMALL.replace(lines(right), wrong == null ? "" : lines(wrong));
+    void anErrorIsReportedWithItsLocationAndTheExpectedValue(
+            String original, String replacement, String section, String key, String expected, String found) {
+        String text =
+                Texts.SMALL.replace(unescapeLines(original), replacement == null ? "" : unescapeLines(replacement));
 
         List<Finding> findings = Texts.findings(reader.read(1, "doc.ini", text));
 
         assertThat(findings).contains(new Finding("doc.ini", section, key == null ? "" : key, expected, found));
     }
 
-    private static String lines(String text) {
+    private static String unescapeLines(String text) {
         return text.replace("\\n", "\n");
     }
 
     @Test
-    void allMistakesOfADocumentAreReportedTogetherInTheOrderOfTheText() {
+    void allErrorsOfADocumentAreReportedTogetherInDocumentOrder() {
         String text = Texts.SMALL
                 .replace("model = m", "modle = m")
                 .replace("idempotent = false", "idempotent = no")
@@ -87,7 +88,7 @@
     }
 
     @Test
-    void aClassOfAPlainServiceHasNoModelAndNoTokens() {
+    void aClassOfAPlainServiceMayNotHaveAModelOrTokenSettings() {
         String text = Texts.SMALL.replace(
                 "target-ms = 500",
                 "target-ms = 500\nmodel = m\nversion = 1\ntoken-interval-ms = 5\nmax-output-tokens = 9");
@@ -110,14 +111,14 @@
     }
 
     /**
-     * Each of several classes is given a large share, one patch after the other. Together they were promised more than
-     * there is, and under load one of them would not get what its operators read in the document.
+     * Successive patches give several classes large minimum shares. If the sum could exceed 1, at least one class would
+     * not get its configured share under load.
      */
     @Test
     void minimumSharesOfOneUpstreamMayNotAddUpToMoreThanOne() {
-        String second = Texts.SMALL.substring(0, Texts.SMALL.indexOf("[class lookup]"));
-        String text =
-                Texts.SMALL + second.replace("[class chat]", "[class talk]").replace("0.4", "0.61");
+        String chatSection = Texts.SMALL.substring(0, Texts.SMALL.indexOf("[class lookup]"));
+        String text = Texts.SMALL
+                + chatSection.replace("[class chat]", "[class talk]").replace("0.4", "0.61");
 
         assertThat(Texts.findings(reader.read(1, "doc.ini", text)))
                 .containsExactly(new Finding(
@@ -126,8 +127,8 @@
     }
 
     /**
-     * Somebody writes a customer's bearer key where its SHA-256 belongs, or forgets the equals sign. Findings go to
-     * logs, to the audit trail and to terminals, and would give the key away there.
+     * A customer's bearer key is written in place of its SHA-256, or the equals sign is missing. Findings are written
+     * to logs, the audit trail and terminals, and would reveal the key there.
      */
     @ParameterizedTest
     @ValueSource(strings = {"key-sha256 = a-secret", "key-sha256 a-secret", "key = a-secret"})
@@ -141,8 +142,8 @@
     }
 
     /**
-     * A section is copied for a new customer and the sum of the key is left as it was. The calls of one customer would
-     * be counted against the budget of the other.
+     * A section is copied for a new customer without changing the SHA-256 of the key. Requests of one customer would
+     * count against the rate limits of the other.
      */
     @Test
     void twoCustomersMayNotHaveTheSameKey() {
@@ -156,27 +157,28 @@
     }
 
     /**
-     * A document is cut off on its way, or published empty by mistake. Put in force it would leave no customer and no
-     * upstream, and every caller would be turned away.
+     * A document is truncated in transit or published empty by mistake. Applying it would remove all customers and
+     * upstreams, so that every request would be rejected.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "; nothing but a comment\n", "[class", "\u0000"})
-    void anEmptyDocumentIsRefused(String text) {
+    void anEmptyDocumentIsRejected(String text) {
         assertThat(Texts.findings(reader.read(1, "doc.ini", text)))
                 .extracting(Finding::expected)
                 .contains("at least one section [customer NAME]", "at least one section [upstream NAME]");
     }
 
     @Test
-    void equalContentHasEqualDigestWhateverTheOrderBlanksAndComments() {
+    void theDigestDoesNotDependOnOrderSpacesOrComments() {
         String[] sections = Texts.SMALL.split("\n(?=\\[)");
-        StringBuilder reversed = new StringBuilder("# another order\n");
+        StringBuilder reversedText = new StringBuilder("# another order\n");
         for (int i = sections.length - 1; i >= 0; i--) {
-            reversed.append(sections[i].replace(" = ", "=").replace("chat, lookup", "lookup ,chat"))
+            reversedText
+                    .append(sections[i].replace(" = ", "=").replace("chat, lookup", "lookup ,chat"))
                     .append("\n; x\n");
         }
 
-        Configuration other = Texts.valid(reader.read(9, "other.ini", reversed.toString()));
+        Configuration other = Texts.valid(reader.read(9, "other.ini", reversedText.toString()));
 
         assertThat(other.digest()).isEqualTo(Texts.small().digest()).matches("[0-9a-f]{64}");
         assertThat(other.customers()).isEqualTo(Texts.small().customers());
--- a/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/PatchTest.java
+++ b/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/PatchTest.java
@@ -9,12 +9,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class PatchTest {
-    private static final String HEAD = "[patch]\nbase = 1\nauthor = an operator\nreason = 20% more, for May; see [7]\n";
+    private static final String HEADER =
+            "[patch]\nbase = 1\nauthor = an operator\nreason = 20% more, for May; see [7]\n";
 
     private final IniConfigurationReader reader = new IniConfigurationReader();
 
     @Test
-    void aPatchChangesTheKeysThatItNamesAndNoOthers() {
+    void aPatchChangesOnlyTheKeysThatItContains() {
         Configuration base = Texts.small();
 
         Configuration result = fold(base, "[set class chat]\ntier = 3\n[set worker llm-1]\nleaving = true\n");
@@ -39,7 +40,7 @@
     }
 
     @Test
-    void anEmptyValueTakesAKeyAway() {
+    void anEmptyValueRemovesAKey() {
         String change =
                 "[set class chat]\nupstream = api\nmodel =\nversion =\ntoken-interval-ms =\nmax-output-tokens =\n";
 
@@ -50,15 +51,15 @@
     }
 
     @Test
-    void theHeaderTellsWhoMadeThePatchAndWhy() {
-        Checked<PatchHeader> header = reader.header("p.ini", HEAD + "[remove class chat]\n");
+    void theHeaderContainsTheBaseTheAuthorAndTheReason() {
+        Checked<PatchHeader> header = reader.header("p.ini", HEADER + "[remove class chat]\n");
 
         assertThat(Texts.valid(header)).isEqualTo(new PatchHeader(1, "an operator", "20% more, for May; see [7]"));
     }
 
     /**
-     * An operator mistypes a name, forgets a key or removes what is still in use. Without the place of the mistake they
-     * would look for it in a document of thousands of sections.
+     * An operator misspells a name, omits a key or removes a record that is still referenced. Without the location of
+     * the error, it would have to be found in a document of thousands of sections.
      */
     @ParameterizedTest
     @CsvSource(
@@ -78,8 +79,8 @@
                 "[set clas chat]\\ntier = 1 | set clas chat | | clas (nearest: class)",
                 "[class chat]\\ntier = 1 | class chat | | class chat (nearest: set class chat)",
             })
-    void aPatchWithAMistakeIsRefusedWithThePlaceOfTheMistake(String changes, String section, String key, String found) {
-        String text = HEAD + changes.replace("\\n", "\n") + "\n";
+    void anInvalidPatchIsRejectedWithTheLocationOfTheError(String changes, String section, String key, String found) {
+        String text = HEADER + changes.replace("\\n", "\n") + "\n";
 
         List<Finding> findings = Texts.findings(reader.fold(Texts.small(), 2, "p.ini", text));
 
@@ -91,23 +92,23 @@
     }
 
     /**
-     * Two operators write patches against the same number and both are published. The second was written without
-     * knowledge of the first, and would silently undo what the first one set.
+     * Two operators write patches against the same number and both are published. The second patch does not
+     * take the first into account, and would silently undo its changes.
      */
     @Test
-    void aPatchAgainstAnotherNumberIsRefused() {
+    void aPatchWithAnotherBaseIsRejected() {
         Configuration base = Texts.small();
-        Configuration second = fold(base, "[set class chat]\ntier = 3\n");
+        Configuration patched = fold(base, "[set class chat]\ntier = 3\n");
 
         List<Finding> findings =
-                Texts.findings(reader.fold(second, 3, "late.ini", HEAD + "[set class chat]\ntier = 1\n"));
+                Texts.findings(reader.fold(patched, 3, "late.ini", HEADER + "[set class chat]\ntier = 1\n"));
 
         assertThat(findings).containsExactly(new Finding("late.ini", "patch", "base", "2", "1"));
     }
 
     @Test
-    void anotherNumberIsReportedTogetherWithAllElseThatIsWrong() {
-        String text = HEAD.replace("base = 1", "base = 5") + "[set class chat]\ntier = 9\nmodle = m\n";
+    void aWrongBaseIsReportedTogetherWithAllOtherErrors() {
+        String text = HEADER.replace("base = 1", "base = 5") + "[set class chat]\ntier = 9\nmodle = m\n";
 
         assertThat(Texts.findings(reader.fold(Texts.small(), 2, "p.ini", text)))
                 .extracting(Finding::key)
@@ -115,25 +116,25 @@
     }
 
     /**
-     * A stale reader hands out an entry again that is already folded. Folded once more under its old number, the
-     * configuration in force would go back to that number.
+     * A stale reader delivers an entry again that was applied before. Applying it under its old number would set the
+     * configuration in force back to that number.
      */
     @Test
-    void aPatchIsNeverFoldedUnderANumberThatIsNotAboveItsBase() {
-        Checked<Configuration> again =
-                reader.fold(Texts.small(), 1, "again.ini", HEAD + "[set class chat]\ntier = 1\n");
+    void aPatchWithANumberNotAboveItsBaseIsRejected() {
+        Checked<Configuration> result =
+                reader.fold(Texts.small(), 1, "again.ini", HEADER + "[set class chat]\ntier = 1\n");
 
-        assertThat(Texts.findings(again)).extracting(Finding::found).containsExactly("number 1");
+        assertThat(Texts.findings(result)).extracting(Finding::found).containsExactly("number 1");
     }
 
     @Test
-    void aPatchWithoutHeaderOrChangesIsRefusedWithAllThatIsMissing() {
+    void aPatchWithoutHeaderAndChangesIsRejectedWithEveryMissingKey() {
         assertThat(Texts.findings(reader.fold(Texts.small(), 2, "p.ini", "")))
                 .extracting(Finding::key)
                 .containsExactlyInAnyOrder("", "base", "author", "reason");
     }
 
     private Configuration fold(Configuration base, String changes) {
-        return Texts.valid(reader.fold(base, 2, "p.ini", HEAD + changes));
+        return Texts.valid(reader.fold(base, 2, "p.ini", HEADER + changes));
     }
 }
--- a/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/Texts.java
+++ b/dotterelcourse-configuration/src/test/java/org/dotterelcourse/configuration/Texts.java
@@ -4,7 +4,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Texts and unwrapping that the tests share. */
+/** Sample documents and helpers that unwrap {@link Checked} results. */
 final class Texts {
     static final String SMALL = """
             [class chat]
