--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/ConfigurationText.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/ConfigurationText.java
@@ -39,7 +39,7 @@
 
     /**
      * Computes the digest of a configuration: the SHA-256 over the SHA-256 digests of the canonical texts of its
-     * classes, customers and upstreams. The text of an upstream includes the sectionCount of its workers.
+     * classes, customers and upstreams. The text of an upstream includes the sections of its workers.
      *
      * @param content the configuration; its current digest is ignored
      * @param base a configuration whose record digests are reused for equal records, or null
--- a/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IniText.java
+++ b/dotterelcourse-configuration/src/main/java/org/dotterelcourse/configuration/IniText.java
@@ -25,7 +25,7 @@
     private IniText() {}
 
     /**
-     * Parses a text.
+     * Parses an INI text.
      *
      * @param file the file's name, used in findings
      * @param text the INI text
@@ -65,8 +65,10 @@
         return new IniSection(file, header, entries);
     }
 
-    /** Reports repeated section headers. The INI parser merges sections with the same header, so that a duplicate would
-     * silently change the first one. */
+    /**
+     * Reports repeated section headers. The INI parser merges sections with the same header, so that a duplicate would
+     * silently change the first one.
+     */
     private static void reportRepeatedSections(String file, String text, Findings findings) {
         Set<String> seen = new HashSet<>();
         for (String line : text.lines().map(String::trim).toList()) {
