--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/ChunkDecoder.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/ChunkDecoder.java
@@ -7,9 +7,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** Turns the data of a chat completion's server-sent events into engine events. */
+/** Converts the data of the server-sent events of a streamed chat completion into {@link EngineEvent}s. */
 final class ChunkDecoder {
-    private static final String DONE = "[DONE]";
+    private static final String END_MARKER = "[DONE]";
 
     private final ObjectMapper json;
     private String finishReason = "";
@@ -21,23 +21,24 @@
     }
 
     /**
-     * Takes the data of one event.
+     * Decodes the data of one server-sent event.
      *
-     * @param data JSON, or the mark of the end
-     * @return what it means, in order
+     * @param data a chat completion chunk as JSON, or {@code [DONE]} at the end of the stream
+     * @return the engine events in stream order; empty if the chunk carries no text, and a single {@link
+     *     EngineEvent.Failed} if the data is not JSON
      */
     List<EngineEvent> decode(String data) {
-        if (data.equals(DONE)) {
-            return List.of(end());
+        if (data.equals(END_MARKER)) {
+            return List.of(endOfStream());
         }
         try {
-            return chunk(json.readTree(data));
+            return decodeChunk(json.readTree(data));
         } catch (JsonProcessingException e) {
-            return List.of(failed("an event of the answer is not JSON"));
+            return List.of(brokenStream("an event of the answer is not JSON"));
         }
     }
 
-    private List<EngineEvent> chunk(JsonNode chunk) {
+    private List<EngineEvent> decodeChunk(JsonNode chunk) {
         List<EngineEvent> events = new ArrayList<>();
         JsonNode choice = chunk.path("choices").path(0);
         String text = choice.path("delta").path("content").asText("");
@@ -51,15 +52,15 @@
         return events;
     }
 
-    private EngineEvent end() {
-        // A mark of the end without a reason would pass off an answer that was cut as a whole one.
+    private EngineEvent endOfStream() {
+        // An end marker without a finish reason means that the answer was truncated; it must not count as complete.
         if (finishReason.isEmpty() || finishReason.equals("null")) {
-            return failed("the answer ended without a reason");
+            return brokenStream("the answer ended without a reason");
         }
         return new EngineEvent.Finished(finishReason, promptTokens, completionTokens);
     }
 
-    private static EngineEvent failed(String detail) {
+    private static EngineEvent brokenStream(String detail) {
         return new EngineEvent.Failed(new UpstreamFailure(UpstreamFailure.Kind.BROKEN, detail));
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/EngineCall.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/EngineCall.java
@@ -3,17 +3,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * One try of a chat completion at one worker.
+ * One attempt to run a chat completion on one worker.
  *
- * @param address the worker's IP number and port
- * @param requestId passed on to the worker
- * @param body the caller's chat completion; not changed
- * @param model the model to ask for
- * @param version the version to use where the worker has it loaded; else it uses another of the model
- * @param maxTokens the most tokens the whole answer may have
- * @param priority 0 is the most urgent
- * @param resumedText the answer so far, empty for a fresh one
- * @param resumedTokens its length in tokens
+ * @param address the worker's address as {@code IP:port}
+ * @param requestId the request's identifier, sent to the worker in the {@code X-Request-Id} header
+ * @param body the chat completion as the client sent it; it is copied, never modified
+ * @param model the name of the requested model
+ * @param version the preferred version of the model; a worker that has not loaded it uses another version of the
+ *     same model
+ * @param maxTokens the maximum length of the whole answer in tokens, including the resumed part
+ * @param priority the request's priority at the engine; 0 is the highest
+ * @param resumedText the part of the answer that an earlier attempt produced; empty if the request is not resumed
+ * @param resumedTokens the length of {@code resumedText} in tokens; 0 if the request is not resumed
  */
 public record EngineCall(
         String address,
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/EngineControl.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/EngineControl.java
@@ -4,14 +4,14 @@
 import org.dotterelcourse.coordination.order.OrderAnswer;
 import reactor.core.publisher.Mono;
 
-/** A model engine, as far as orders go. */
+/** Client of the model engines for orders, which load or unload a model version or change a worker's role. */
 public interface EngineControl {
     /**
-     * Writes an order.
+     * Sends an order to an engine.
      *
-     * @param address the engine's IP number and port
-     * @param order the order
-     * @return what came of it, always one value
+     * @param address the engine's address as {@code IP:port}
+     * @param order the order, with its fencing number
+     * @return the engine's answer, always exactly one value; {@link OrderAnswer.Failed} if there is no valid answer
      */
     Mono<OrderAnswer> write(String address, Order order);
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/EngineEvent.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/EngineEvent.java
@@ -1,27 +1,31 @@
 package org.dotterelcourse.daemon.upstream;
 
-/** What an engine's stream brings. A stream always ends with {@link Finished} or {@link Failed}, never with an error. */
+/**
+ * An event of an engine's answer stream. A stream always ends with {@link Finished} or {@link Failed}, never with an
+ * error signal.
+ */
 public sealed interface EngineEvent {
     /**
-     * A piece of the answer, counted as one token.
+     * A part of the answer's text, counted as one token.
      *
-     * @param text the piece
+     * @param text the text to append to the answer; never empty
      */
     record Piece(String text) implements EngineEvent {}
 
     /**
-     * The answer is whole.
+     * The answer is complete.
      *
-     * @param reason {@code stop} or {@code length}
-     * @param promptTokens length of the prompt
-     * @param completionTokens length of the whole answer, with what was resumed from
+     * @param reason the engine's finish reason: {@code stop} or {@code length}
+     * @param promptTokens the length of the prompt in tokens, as reported by the engine
+     * @param completionTokens the length of the whole answer in tokens, including the resumed part, as reported by the
+     *     engine
      */
     record Finished(String reason, int promptTokens, int completionTokens) implements EngineEvent {}
 
     /**
-     * There will be no more of this answer on this connection.
+     * The attempt failed; this connection delivers no more of the answer.
      *
-     * @param failure what happened
+     * @param failure the cause, and whether the request may have run
      */
     record Failed(UpstreamFailure failure) implements EngineEvent {}
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/Failures.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/Failures.java
@@ -4,7 +4,7 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Tells from a status or an exception whether a call can have run. */
+/** Classifies HTTP statuses and client exceptions by whether the call may have run on the worker. */
 final class Failures {
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -12,11 +12,11 @@
     private Failures() {}
 
     /**
-     * Judges an engine's answer other than 200.
+     * Classifies an engine's response with a status other than 200.
      *
-     * @param status the HTTP status
-     * @param headers the answer's headers
-     * @return what is known
+     * @param status the HTTP status code
+     * @param headers the response headers; {@code X-Leaving: true} means that the engine accepts no more requests
+     * @return the failure
      */
     static UpstreamFailure ofEngineStatus(int status, HttpHeaders headers) {
         if ("true".equals(headers.get("X-Leaving"))) {
@@ -29,16 +29,16 @@
     }
 
     /**
-     * Judges an exception.
+     * Classifies an exception of the HTTP client.
      *
-     * @param error what the client threw
-     * @param sent whether the request may have been written, in part or whole
-     * @return what is known
+     * @param error the exception
+     * @param sent whether the request may have been written to the connection, in part or completely
+     * @return the failure; its kind is {@link UpstreamFailure.Kind#UNREACHABLE} if nothing was sent
      */
     static UpstreamFailure ofException(Throwable error, boolean sent) {
         String detail = error.getClass().getSimpleName();
-        // Whatever broke before the first byte was written, the worker can't have seen the request. This is the one
-        // test that "not run" rests on: an exception's type alone doesn't tell on which side of the write it arose.
+        // If no byte was written, the worker cannot have received the request. Of an exception, only this flag can show
+        // that the call did not run: its type does not say whether it was thrown before or after the write.
         if (!sent) {
             return new UpstreamFailure(UpstreamFailure.Kind.UNREACHABLE, "no connection: " + detail);
         }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpEngine.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpEngine.java
@@ -12,7 +12,7 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.http.client.HttpClientResponse;
 
-/** Sends chat completions over HTTP and reads the answers as server-sent events: docs/PROTOCOLS.md, "Engines". */
+/** Sends chat completions over HTTP and reads the answers as server-sent events (docs/PROTOCOLS.md, "Engines"). */
 public final class HttpEngine implements Engine {
     private static final int OK = 200;
 
@@ -21,13 +21,13 @@
     private final ObjectMapper json = new ObjectMapper();
 
     /**
-     * Makes a client. Each call has a connection of its own: it is closed at the answer's end mark, or cancelled with the
-     * work, so there would be none to use again.
+     * Creates a client that opens a new connection for each call. The connection is closed at the answer's end marker
+     * or when the request is cancelled, so a pool would have no connection to reuse.
      *
-     * @param timeouts how long a worker may stay silent
+     * @param timeouts the limits for connecting, for the first event and between events
      */
     public HttpEngine(UpstreamTimeouts timeouts) {
-        this.client = UpstreamClients.fresh(timeouts.connect());
+        this.client = UpstreamClients.unpooled(timeouts.connect());
         this.timeouts = timeouts;
     }
 
@@ -37,9 +37,9 @@
             AtomicBoolean sent = new AtomicBoolean();
             return send(call, sent)
                     .timeout(Mono.delay(timeouts.firstEvent()), event -> Mono.delay(timeouts.betweenEvents()))
-                    .onErrorResume(error -> Flux.just(failed(Failures.ofException(error, sent.get()))))
+                    .onErrorResume(error -> Flux.just(failedEvent(Failures.ofException(error, sent.get()))))
                     .concatWith(Mono.fromSupplier(HttpEngine::truncated))
-                    .takeUntil(HttpEngine::isLast);
+                    .takeUntil(HttpEngine::isTerminal);
         });
     }
 
@@ -51,21 +51,23 @@
                 .post()
                 .uri("http://" + call.address() + "/v1/chat/completions")
                 .send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(body)))
-                .response(this::events);
+                .response(this::decodeResponse);
     }
 
-    private Flux<EngineEvent> events(HttpClientResponse response, ByteBufFlux content) {
+    private Flux<EngineEvent> decodeResponse(HttpClientResponse response, ByteBufFlux content) {
         int status = response.status().code();
         if (status != OK) {
             UpstreamFailure failure = Failures.ofEngineStatus(status, response.responseHeaders());
-            return content.thenMany(Flux.just(failed(failure)));
+            return content.thenMany(Flux.just(failedEvent(failure)));
         }
-        SseDecoder lines = new SseDecoder();
-        ChunkDecoder chunks = new ChunkDecoder(json);
-        // The buffers are released as soon as they have been handed over. An operator that keeps them for a slow caller
-        // would read them after they were filled with somebody else's answer; so they are decoded at once, and what
-        // waits is text.
-        return content.map(lines::decode).concatMapIterable(events -> events).concatMapIterable(chunks::decode);
+        SseDecoder sseDecoder = new SseDecoder();
+        ChunkDecoder chunkDecoder = new ChunkDecoder(json);
+        // Reactor Netty releases each buffer when the subscriber returns. An operator that queues buffers for a slow
+        // client would read them after they were reused for another client's answer. They are therefore decoded at
+        // once, and only the decoded text is queued.
+        return content.map(sseDecoder::decode)
+                .concatMapIterable(events -> events)
+                .concatMapIterable(chunkDecoder::decode);
     }
 
     private byte[] encode(EngineCall call) {
@@ -83,20 +85,20 @@
         try {
             return json.writeValueAsBytes(body);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a JSON tree can't be written as JSON", e);
+            throw new IllegalStateException("failed to serialize the chat completion as JSON", e);
         }
     }
 
-    /** A connection that is closed in the middle of an answer looks to HTTP like its end; only the mark tells. */
+    /** Without the end marker, HTTP cannot distinguish a connection closed in mid-answer from a complete answer. */
     private static EngineEvent truncated() {
-        return failed(new UpstreamFailure(UpstreamFailure.Kind.BROKEN, "the answer ended without its end mark"));
+        return failedEvent(new UpstreamFailure(UpstreamFailure.Kind.BROKEN, "the answer ended without its end mark"));
     }
 
-    private static boolean isLast(EngineEvent event) {
+    private static boolean isTerminal(EngineEvent event) {
         return !(event instanceof EngineEvent.Piece);
     }
 
-    private static EngineEvent failed(UpstreamFailure failure) {
+    private static EngineEvent failedEvent(UpstreamFailure failure) {
         return new EngineEvent.Failed(failure);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpEngineControl.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpEngineControl.java
@@ -16,7 +16,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Writes orders over HTTP: docs/PROTOCOLS.md, "Engines". */
+/** Sends orders to engines over HTTP (docs/PROTOCOLS.md, "Engines"). */
 public final class HttpEngineControl implements EngineControl {
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final int OK = 200;
@@ -28,38 +28,38 @@
 
     @Override
     public Mono<OrderAnswer> write(String address, Order order) {
-        byte[] body = body(order).toString().getBytes(StandardCharsets.UTF_8);
+        byte[] body = encode(order).toString().getBytes(StandardCharsets.UTF_8);
         return client.headers(headers -> headers.set("Content-Type", "application/json"))
                 .post()
                 .uri("http://" + address + "/v1/orders")
                 .send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(body)))
                 .responseSingle((response, content) -> content.asString()
                         .defaultIfEmpty("")
-                        .map(text -> answer(response.status().code(), text)))
+                        .map(text -> toAnswer(response.status().code(), text)))
                 .timeout(TIMEOUT)
                 .onErrorResume(error -> {
-                    LOG.debug("an order could not be written to " + address, error);
+                    LOG.debug("failed to send an order to " + address, error);
                     return Mono.just(new OrderAnswer.Failed());
                 });
     }
 
-    private ObjectNode body(Order order) {
+    private ObjectNode encode(Order order) {
         ObjectNode body = json.createObjectNode().put("fence", order.fence().wire());
         OrderAction action = order.action();
         if (action instanceof OrderAction.Load load) {
-            return version(body.put("action", "load"), load.version());
+            return putVersion(body.put("action", "load"), load.version());
         }
         if (action instanceof OrderAction.Unload unload) {
-            return version(body.put("action", "unload"), unload.version());
+            return putVersion(body.put("action", "unload"), unload.version());
         }
         return body.put("action", "role").put("role", ((OrderAction.Role) action).role());
     }
 
-    private static ObjectNode version(ObjectNode body, ModelVersion version) {
+    private static ObjectNode putVersion(ObjectNode body, ModelVersion version) {
         return body.put("model", version.model()).put("version", version.version());
     }
 
-    private OrderAnswer answer(int status, String text) {
+    private OrderAnswer toAnswer(int status, String text) {
         if (status == OK) {
             return new OrderAnswer.Accepted();
         }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpLoadReports.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpLoadReports.java
@@ -14,7 +14,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Reads load reports over HTTP: docs/PROTOCOLS.md, "Engines". */
+/** Fetches engines' load reports over HTTP (docs/PROTOCOLS.md, "Engines"). */
 public final class HttpLoadReports implements LoadReports {
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
     private static final Logger LOG = Logger.getLogger(HttpLoadReports.class);
@@ -32,7 +32,7 @@
                 .timeout(TIMEOUT)
                 .map(this::parse)
                 .onErrorResume(error -> {
-                    LOG.debug("no load report from " + address, error);
+                    LOG.debug("failed to read the load report of " + address, error);
                     return Mono.empty();
                 });
     }
@@ -44,18 +44,18 @@
                     report.required("running").asInt(),
                     report.required("waiting").asInt(),
                     report.path("reportedAtMillis").asLong(),
-                    loaded(report.path("models")),
+                    parseVersions(report.path("models")),
                     Fence.of(report.path("fence").asLong()),
                     report.path("role").asText());
         } catch (IOException e) {
-            throw new UncheckedIOException("a load report is not JSON", e);
+            throw new UncheckedIOException("load report is not valid JSON", e);
         }
     }
 
-    private static SortedSet<ModelVersion> loaded(JsonNode models) {
-        SortedSet<ModelVersion> loaded = new TreeSet<>();
-        models.forEach(each -> loaded.add(new ModelVersion(
-                each.path("model").asText(), each.path("version").asText())));
-        return loaded;
+    private static SortedSet<ModelVersion> parseVersions(JsonNode models) {
+        SortedSet<ModelVersion> versions = new TreeSet<>();
+        models.forEach(entry -> versions.add(new ModelVersion(
+                entry.path("model").asText(), entry.path("version").asText())));
+        return versions;
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpPlainService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/HttpPlainService.java
@@ -13,24 +13,25 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.http.client.HttpClientResponse;
 
-/** Calls a plain service over HTTP: docs/PROTOCOLS.md, "Plain services". */
+/** Calls plain services over HTTP (docs/PROTOCOLS.md, "Plain services"). */
 public final class HttpPlainService implements PlainService {
     private static final int SERVICE_UNAVAILABLE = 503;
 
     private final HttpClient pooled;
-    private final HttpClient fresh;
-    private final BoundedBodyCollector bodies;
+    private final HttpClient unpooled;
+    private final BoundedBodyCollector bodyCollector;
 
     /**
-     * Makes a client with a connection pool of its own.
+     * Creates a client with its own connection pool.
      *
-     * @param connect the longest time for a connection to be made
-     * @param maxBodyBytes the longest answer that is taken; a longer one counts as broken
+     * @param connectTimeout the maximum time to establish a connection
+     * @param maxBodyBytes the maximum length of a response body in bytes; a call with a longer response ends as {@link
+     *     UpstreamFailure.Kind#BROKEN}
      */
-    public HttpPlainService(Duration connect, int maxBodyBytes) {
-        this.pooled = UpstreamClients.pooled(connect);
-        this.fresh = UpstreamClients.fresh(connect);
-        this.bodies = new BoundedBodyCollector(maxBodyBytes);
+    public HttpPlainService(Duration connectTimeout, int maxBodyBytes) {
+        this.pooled = UpstreamClients.pooled(connectTimeout);
+        this.unpooled = UpstreamClients.unpooled(connectTimeout);
+        this.bodyCollector = new BoundedBodyCollector(maxBodyBytes);
     }
 
     @Override
@@ -39,38 +40,39 @@
             AtomicBoolean sent = new AtomicBoolean();
             return send(call, sent)
                     .timeout(call.timeout())
-                    .onErrorResume(error -> Mono.just(failed(Failures.ofException(error, sent.get()))))
+                    .onErrorResume(error -> Mono.just(failedReply(Failures.ofException(error, sent.get()))))
                     .switchIfEmpty(Mono.fromSupplier(
-                            () -> failed(Failures.ofException(new IOException("no answer"), sent.get()))));
+                            () -> failedReply(Failures.ofException(new IOException("no answer"), sent.get()))));
         });
     }
 
     private Mono<ServiceReply> send(ServiceCall call, AtomicBoolean sent) {
-        return (call.pooled() ? pooled : fresh)
+        return (call.pooled() ? pooled : unpooled)
                 .doOnRequest((request, connection) -> sent.set(true))
                 .headers(headers ->
                         headers.set("Content-Type", call.contentType()).set("X-Request-Id", call.requestId()))
                 .request(HttpMethod.valueOf(call.method()))
                 .uri("http://" + call.address() + call.path())
                 .send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(call.body())))
-                .response((response, content) -> reply(response, content))
+                .response((response, content) -> toReply(response, content))
                 .single();
     }
 
-    private Flux<ServiceReply> reply(HttpClientResponse response, Flux<ByteBuf> content) {
+    private Flux<ServiceReply> toReply(HttpClientResponse response, Flux<ByteBuf> content) {
         int status = response.status().code();
         boolean notStarted = "true".equals(response.responseHeaders().get("X-Not-Started"));
         if (status == SERVICE_UNAVAILABLE && notStarted) {
             UpstreamFailure refused = new UpstreamFailure(UpstreamFailure.Kind.REFUSED, "the service refused");
-            return content.thenMany(Flux.just(failed(refused)));
+            return content.thenMany(Flux.just(failedReply(refused)));
         }
         String contentType = response.responseHeaders().get("Content-Type", "application/octet-stream");
-        return bodies.collect(content)
+        return bodyCollector
+                .collect(content)
                 .<ServiceReply>map(body -> new ServiceReply.Answered(status, contentType, body))
                 .flux();
     }
 
-    private static ServiceReply failed(UpstreamFailure failure) {
+    private static ServiceReply failedReply(UpstreamFailure failure) {
         return new ServiceReply.Failed(failure);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/PlainService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/PlainService.java
@@ -2,13 +2,13 @@
 
 import reactor.core.publisher.Mono;
 
-/** A plain service. */
+/** Client of the plain services, which are the upstream workers that are not model engines. */
 public interface PlainService {
     /**
-     * Calls it once; it is never called again for the same subscription. Cancelling closes the connection.
+     * Sends one call and never retries it. Cancelling the subscription closes the connection.
      *
-     * @param call what to send and where
-     * @return how it ended, always one value
+     * @param call the worker's address and the request
+     * @return the response or the failure, always exactly one value; the call is sent on subscription
      */
     Mono<ServiceReply> call(ServiceCall call);
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/ServiceCall.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/ServiceCall.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * One try of a call to a plain service at one worker.
+ * One attempt to call a plain service on one worker.
  *
- * @param address the worker's IP number and port
- * @param requestId passed on to the worker
+ * @param address the worker's address as {@code IP:port}
+ * @param requestId the request's identifier, sent to the worker in the {@code X-Request-Id} header
  * @param method the HTTP method
- * @param path path and query, with the leading slash
- * @param contentType the body's type
- * @param body the whole body
- * @param pooled whether it may go over a pooled connection; else it gets one of its own
- * @param timeout from sending to the whole answer
+ * @param path the path and query, with the leading slash
+ * @param contentType the content type of the body
+ * @param body the complete request body
+ * @param pooled whether the call may use a pooled connection; otherwise a new connection is opened for it
+ * @param timeout the maximum time from subscription to the end of the response
  */
 public record ServiceCall(
         String address,
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/ServiceReply.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/ServiceReply.java
@@ -1,20 +1,20 @@
 package org.dotterelcourse.daemon.upstream;
 
-/** How a call to a plain service ended. */
+/** The result of a call to a plain service. */
 public sealed interface ServiceReply {
     /**
-     * The service answered; the answer is passed back as it is, whatever its status.
+     * The service responded. The response is returned to the client unchanged, whatever its status.
      *
-     * @param status the HTTP status
-     * @param contentType the body's type
-     * @param body the whole body
+     * @param status the HTTP status code
+     * @param contentType the content type of the body
+     * @param body the complete response body
      */
     record Answered(int status, String contentType, byte[] body) implements ServiceReply {}
 
     /**
-     * There is no answer.
+     * The call failed without a complete response.
      *
-     * @param failure what happened
+     * @param failure the cause, and whether the call may have run
      */
     record Failed(UpstreamFailure failure) implements ServiceReply {}
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/SseDecoder.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/SseDecoder.java
@@ -8,31 +8,31 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Cuts a byte stream into the data of server-sent events, after the HTML standard's section "Interpreting an event
- * stream". Only {@code data} fields count; events without data, comments and other fields are passed over.
+ * Incremental decoder of server-sent events, according to "Interpreting an event stream" in the HTML standard. It
+ * returns only the {@code data} fields and ignores comments, other fields and events without data.
  */
 final class SseDecoder {
-    /** An engine's event holds one token; a line of a megabyte is a fault of the sender, not an event. */
+    /** Bounds memory use. An engine's event holds one token, so a line of this length is a fault of the sender. */
     private static final int MAX_LINE_BYTES = 1 << 20;
 
-    private static final String DATA = "data:";
+    private static final String DATA_FIELD = "data:";
 
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
     private final StringBuilder data = new StringBuilder();
 
     /**
-     * Takes the next bytes.
+     * Decodes the next bytes of the stream.
      *
-     * @param bytes read to their end, not released
-     * @return the data of the events that end in these bytes
-     * @throws IllegalStateException if a line is too long
+     * @param bytes the next bytes; all of them are consumed, and the buffer is not released
+     * @return the data of each event completed by these bytes, in stream order
+     * @throws IllegalStateException if a line exceeds the maximum length
      */
     List<String> decode(ByteBuf bytes) {
         List<String> events = new ArrayList<>();
         while (bytes.isReadable()) {
             byte next = bytes.readByte();
             if (next == '\n') {
-                endLine(events);
+                completeLine(events);
             } else {
                 append(next);
             }
@@ -41,33 +41,33 @@
     }
 
     private void append(byte next) {
-        if (line.size() >= MAX_LINE_BYTES) {
-            throw new IllegalStateException("a line of the event stream is longer than " + MAX_LINE_BYTES + " bytes");
+        if (lineBuffer.size() >= MAX_LINE_BYTES) {
+            throw new IllegalStateException("line of the event stream exceeds " + MAX_LINE_BYTES + " bytes");
         }
-        line.write(next);
+        lineBuffer.write(next);
     }
 
-    private void endLine(List<String> events) {
-        String text = line.toString(StandardCharsets.UTF_8);
-        line.reset();
+    private void completeLine(List<String> events) {
+        String text = lineBuffer.toString(StandardCharsets.UTF_8);
+        lineBuffer.reset();
         if (text.endsWith("\r")) {
             text = text.substring(0, text.length() - 1);
         }
         if (text.isEmpty()) {
-            endEvent(events);
-        } else if (text.startsWith(DATA)) {
-            addData(text.substring(DATA.length()));
+            completeEvent(events);
+        } else if (text.startsWith(DATA_FIELD)) {
+            appendData(text.substring(DATA_FIELD.length()));
         }
     }
 
-    private void addData(String value) {
+    private void appendData(String value) {
         if (data.length() > 0) {
             data.append('\n');
         }
         data.append(value.startsWith(" ") ? value.substring(1) : value);
     }
 
-    private void endEvent(List<String> events) {
+    private void completeEvent(List<String> events) {
         if (data.length() > 0) {
             events.add(data.toString());
             data.setLength(0);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/UpstreamClients.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/UpstreamClients.java
@@ -6,47 +6,47 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.resources.ConnectionProvider;
 
-/** The HTTP clients towards workers, with what they may and may not do on their own. */
+/** Creates the HTTP clients for calls to workers, with their connection pooling and without automatic retries. */
 final class UpstreamClients {
     private static final int MAX_CONNECTIONS_PER_WORKER = 500;
 
-    /** Shorter than any idle limit seen in front of a worker, so that a pooled connection is rarely a dead one. */
-    private static final Duration MAX_IDLE = Duration.ofSeconds(8);
+    /** Shorter than any idle timeout seen in front of a worker, so that few pooled connections are already closed. */
+    private static final Duration MAX_IDLE_TIME = Duration.ofSeconds(8);
 
-    private static final Duration MAX_AGE = Duration.ofMinutes(5);
+    private static final Duration MAX_LIFETIME = Duration.ofMinutes(5);
 
     private UpstreamClients() {}
 
     /**
-     * A client with pooled connections, for what may run more than once.
+     * Creates a client with pooled connections, for calls that may run more than once.
      *
-     * @param connect the longest time for a connection to be made
+     * @param connectTimeout the maximum time to establish a connection
      * @return the client
      */
-    static HttpClient pooled(Duration connect) {
+    static HttpClient pooled(Duration connectTimeout) {
         ConnectionProvider provider = ConnectionProvider.builder("upstream")
                 .maxConnections(MAX_CONNECTIONS_PER_WORKER)
-                .maxIdleTime(MAX_IDLE)
-                .maxLifeTime(MAX_AGE)
+                .maxIdleTime(MAX_IDLE_TIME)
+                .maxLifeTime(MAX_LIFETIME)
                 .build();
-        return configured(HttpClient.create(provider), connect);
+        return configure(HttpClient.create(provider), connectTimeout);
     }
 
     /**
-     * A client that makes a connection for each call, for what must not run twice: on a pooled connection that the
-     * worker has just closed, nobody can tell whether the request was read, so the caller would be told "unknown" where
-     * a fresh connection would have been refused, and "not run" told.
+     * Creates a client that opens a new connection for each call, for calls that must not run twice. If the worker has
+     * just closed a pooled connection, it is uncertain whether it read the request, so the client would get the outcome
+     * "unknown". A new connection would be refused, which gives the certain outcome "not run".
      *
-     * @param connect the longest time for a connection to be made
+     * @param connectTimeout the maximum time to establish a connection
      * @return the client
      */
-    static HttpClient fresh(Duration connect) {
-        return configured(HttpClient.create(ConnectionProvider.newConnection()), connect);
+    static HttpClient unpooled(Duration connectTimeout) {
+        return configure(HttpClient.create(ConnectionProvider.newConnection()), connectTimeout);
     }
 
-    private static HttpClient configured(HttpClient client, Duration connect) {
-        // The client would send a request again by itself when a connection breaks early: a payout would run twice and
-        // nobody would see why.
-        return client.disableRetry(true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connect.toMillis());
+    private static HttpClient configure(HttpClient client, Duration connectTimeout) {
+        // By default the HTTP client resends a request if the connection breaks early. A payout could then run twice
+        // without a trace of the cause.
+        return client.disableRetry(true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeout.toMillis());
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/UpstreamFailure.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/UpstreamFailure.java
@@ -1,32 +1,32 @@
 package org.dotterelcourse.daemon.upstream;
 
 /**
- * Why a call to a worker brought no whole answer.
+ * The reason why a call to a worker did not produce a complete answer.
  *
- * @param kind what is known about whether it ran
- * @param detail for the log and the caller; never holds a part of a prompt or an answer
+ * @param kind the kind of failure, which determines whether the call may have run
+ * @param detail a description for the log and the client; it never contains any part of a prompt or an answer
  */
 public record UpstreamFailure(Kind kind, String detail) {
-    /** What is known about whether the call ran. */
+    /** Kinds of failure, distinguished by whether the call may have run. */
     public enum Kind {
-        /** No connection could be made; not a byte was written. It did not run. */
+        /** The call failed before any byte was written, usually without a connection. It did not run. */
         UNREACHABLE,
-        /** The worker refused before it started. It did not run. */
+        /** The worker refused the call before starting it. It did not run. */
         REFUSED,
-        /** The worker refused before it started and takes no more work. It did not run. */
+        /** The worker accepts no more calls and refused this one before starting it. It did not run. */
         LEAVING,
-        /** The connection broke, or the answer made no sense, after something was written. It may have run. */
+        /** After data was written, the connection broke or the response was invalid. It may have run. */
         BROKEN,
-        /** Nothing came for too long after something was written. It may have run. */
+        /** After data was written, the worker sent nothing within the timeout. It may have run. */
         SILENT,
-        /** The scheduler took the worker away. It has run in part. */
+        /** The scheduler preempted the call. It has run in part. */
         PREEMPTED
     }
 
     /**
-     * Whether the call has certainly not run.
+     * Returns whether the call has certainly not run.
      *
-     * @return true if it is safe to run it elsewhere, whatever it does
+     * @return {@code true} if the call can be retried on another worker even if it is not idempotent
      */
     public boolean notRun() {
         return kind == Kind.UNREACHABLE || kind == Kind.REFUSED || kind == Kind.LEAVING;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/UpstreamTimeouts.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/UpstreamTimeouts.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * How long a worker may stay silent.
+ * Timeouts of calls to a model engine.
  *
- * @param connect for a connection to be made
- * @param firstEvent from sending to the first byte of the answer
- * @param betweenEvents from one event to the next
+ * @param connect the maximum time to establish a connection
+ * @param firstEvent the maximum time from subscription to the first event of the answer
+ * @param betweenEvents the maximum time between two consecutive events
  */
 public record UpstreamTimeouts(Duration connect, Duration firstEvent, Duration betweenEvents) {
     /**
-     * The figures for normal use. Connecting crosses at most a few milliseconds of network, so a second is a loss of
-     * several packets. A first token is due in 1.9 s; five times that is not a queue any more. A token is due every
-     * 44 ms; a step that takes a hundred times as long is not a step any more.
+     * The timeouts for production use. The network latency is at most a few milliseconds, so connecting takes 1 s only
+     * if several packets are lost. The first token is due in 1.9 s; five times that delay is not explained by queueing.
+     * A token is due every 44 ms; a hundred times that delay is not explained by a slow decoding step.
      */
     public static final UpstreamTimeouts DEFAULT =
             new UpstreamTimeouts(Duration.ofSeconds(1), Duration.ofSeconds(10), Duration.ofSeconds(5));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP side towards engines and plain services. */
+/** HTTP clients for the upstream workers: model engines and plain services. */
 package org.dotterelcourse.daemon.upstream;
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/upstream/HttpEngineTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/upstream/HttpEngineTest.java
@@ -18,20 +18,20 @@
     private static final int TOKENS = 150;
 
     @Test
-    void givesASlowReaderItsOwnAnswerWhileOthersStreamBesideIt() {
-        // Callers read more slowly than engines write, as on a loaded machine, so what an engine has sent waits in the
-        // daemon. If it waited in network buffers that are used again meanwhile, a caller would be given pieces of
-        // somebody else's answer.
-        Duration step = Duration.ofNanos(500_000);
+    void doesNotMixAnswersOfConcurrentStreamsWithSlowReaders() {
+        // Guards against clients receiving parts of other clients' answers. On a loaded machine, clients read more
+        // slowly than engines write, so data is queued in the daemon. If it were queued as network buffers, these would
+        // be reused for other answers before they are read.
+        Duration stepTime = Duration.ofNanos(500_000);
         try (EngineStandIn engine = EngineStandIn.builder()
                 .limits(64, 64)
-                .times(step, Duration.ZERO, Duration.ZERO)
+                .times(stepTime, Duration.ZERO, Duration.ZERO)
                 .model("bond", "1")
                 .build()
                 .start()) {
             HttpEngine client = new HttpEngine(UpstreamTimeouts.DEFAULT);
             List<String> answers = Flux.range(0, CALLS)
-                    .flatMapSequential(i -> slowly(client.stream(call(engine, i))), CALLS)
+                    .flatMapSequential(i -> readSlowly(client.stream(call(engine, i))), CALLS)
                     .collectList()
                     .block(Duration.ofSeconds(60));
 
@@ -41,7 +41,7 @@
         }
     }
 
-    private static Mono<String> slowly(Flux<EngineEvent> events) {
+    private static Mono<String> readSlowly(Flux<EngineEvent> events) {
         return events.concatMap(event -> Mono.just(event).delayElement(Duration.ofMillis(5)), 1)
                 .map(event -> event instanceof EngineEvent.Piece piece ? piece.text() : "")
                 .reduce("", String::concat);
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/upstream/SseDecoderTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/upstream/SseDecoderTest.java
@@ -19,24 +19,24 @@
             ": keep-alive\n\ndata: {\"one\"}\n\ndata:é€\r\ndata: two\r\n\r\nevent: error\ndata: [DONE]\n\n";
 
     @Property(seed = "20261202", tries = 200)
-    void findsTheSameEventsHoweverTheBytesAreCut(@ForAll @IntRange(min = 1, max = 80) int cut) {
+    void decodesTheSameEventsForEveryChunkSize(@ForAll @IntRange(min = 1, max = 80) int chunkSize) {
         byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
         SseDecoder decoder = new SseDecoder();
         List<String> events = new ArrayList<>();
-        for (int from = 0; from < bytes.length; from += cut) {
-            byte[] part = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + cut));
-            events.addAll(decoder.decode(Unpooled.wrappedBuffer(part)));
+        for (int from = 0; from < bytes.length; from += chunkSize) {
+            byte[] chunk = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + chunkSize));
+            events.addAll(decoder.decode(Unpooled.wrappedBuffer(chunk)));
         }
 
         assertThat(events).containsExactly("{\"one\"}", "é€\ntwo", "[DONE]");
     }
 
     @Test
-    void refusesALineWithoutEnd() {
-        byte[] endless = new byte[(1 << 20) + 1];
-        Arrays.fill(endless, (byte) 'x');
+    void rejectsLineThatExceedsTheMaximumLength() {
+        byte[] overlongLine = new byte[(1 << 20) + 1];
+        Arrays.fill(overlongLine, (byte) 'x');
 
-        assertThatThrownBy(() -> new SseDecoder().decode(Unpooled.wrappedBuffer(endless)))
+        assertThatThrownBy(() -> new SseDecoder().decode(Unpooled.wrappedBuffer(overlongLine)))
                 .isInstanceOf(IllegalStateException.class);
     }
 }
