--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/ClassReport.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/ClassReport.java
@@ -6,7 +6,7 @@
 import com.codahale.metrics.Counter;
 import com.codahale.metrics.MetricRegistry;
 
-/** Gathers the counters of each class, as {@code class.NAME.COUNTER}, into one object a class. */
+/** Groups the counters named {@code class.CLASS.COUNTER} by request class. */
 final class ClassReport {
     private static final String PREFIX = "class.";
 
@@ -22,9 +22,9 @@
         return classes;
     }
 
-    private static void add(Map<String, Map<String, Long>> classes, String name, Counter counter) {
-        int dot = name.indexOf('.');
-        classes.computeIfAbsent(name.substring(0, dot), key -> new TreeMap<>())
-                .put(name.substring(dot + 1), counter.getCount());
+    private static void add(Map<String, Map<String, Long>> classes, String counterName, Counter counter) {
+        int dot = counterName.indexOf('.');
+        classes.computeIfAbsent(counterName.substring(0, dot), key -> new TreeMap<>())
+                .put(counterName.substring(dot + 1), counter.getCount());
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/Drain.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/Drain.java
@@ -17,24 +17,26 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * Shuts the daemon down without cutting off a request: it is named to no new caller, goes on serving those that still
- * hold its address, then takes no more connections and waits for the requests in flight.
+ * Drains the daemon for a graceful shutdown. The daemon is withdrawn from the addresses given to clients and keeps
+ * serving until the addresses that clients hold have expired. It then accepts no more connections and waits for the
+ * requests in flight.
  */
 public final class Drain implements Service {
-    /** The name that it is found by. */
+    /** Name under which the kernel registers this service. */
     public static final ServiceName<Drain> NAME = new ServiceName<>("drain", Drain.class);
 
     private final DaemonSettings settings;
-    private final AtomicBoolean begun = new AtomicBoolean();
+    private final AtomicBoolean draining = new AtomicBoolean();
     private final Sinks.Empty<Void> done = Sinks.empty();
-    private CallersEdge edge;
+    private CallersEdge callersEdge;
     private AuditTrail audit;
     private Peers peers;
 
     /**
-     * Makes it; nothing happens before {@link #begin}.
+     * Creates the service. The daemon serves normally until {@link #begin} is called.
      *
-     * @param settings how long callers keep an address, and how long to wait for requests in flight
+     * @param settings the daemon's settings, with the time for which clients may use an address and the maximum time to
+     *     wait for requests in flight
      */
     public Drain(DaemonSettings settings) {
         this.settings = settings;
@@ -52,70 +54,72 @@
 
     @Override
     public List<StartupFailure> start(Kernel kernel) {
-        edge = kernel.find(CallersEdge.NAME);
+        callersEdge = kernel.find(CallersEdge.NAME);
         audit = kernel.find(AuditTrail.NAME);
         peers = kernel.find(Peers.NAME);
-        // Two processes under one name would both be taken for the owner of the same cells.
+        // If two processes had the same name, peers would treat both as the owner of the same cells.
         peers.onSuperseded(() -> begin("another process has this daemon's name"));
         return List.of();
     }
 
     @Override
     public void stop() {
-        // A drain that is under way ends with the process.
+        // Nothing to stop: a drain in progress ends with the process.
     }
 
     /**
-     * Begins to drain; a second call changes nothing.
+     * Starts draining. Calls after the first have no effect.
      *
-     * @param cause why, for the audit trail
+     * @param cause the reason, for the audit trail
      */
     public void begin(String cause) {
-        if (!begun.compareAndSet(false, true)) {
+        if (!draining.compareAndSet(false, true)) {
             return;
         }
         audit.add(AuditEvent.Kind.DRAINING, settings.name(), cause, "serving", "draining");
         peers.leave();
-        edge.drain();
+        callersEdge.drain();
         Mono.delay(settings.addressesTimeToLive())
-                .then(Mono.defer(edge::finish))
+                .then(Mono.defer(callersEdge::finish))
                 .timeout(settings.addressesTimeToLive().plus(settings.drainLimit()))
                 .onErrorComplete()
-                .subscribe(none -> {}, error -> {}, this::finished);
+                .subscribe(none -> {}, error -> {}, this::complete);
     }
 
     /**
-     * Whether the daemon drains.
+     * Returns whether the daemon is draining or has drained.
      *
-     * @return true from the first call of {@link #begin} on
+     * @return {@code true} after the first call of {@link #begin}
      */
-    public boolean begun() {
-        return begun.get();
+    public boolean isDraining() {
+        return draining.get();
     }
 
     /**
-     * Waits until it is drained.
+     * Returns a signal for the end of the drain.
      *
-     * @return completes when nothing is in flight, or the limit has passed
+     * @return a {@code Mono} that completes when no request is in flight or {@link #limit} has passed
      */
     public Mono<Void> done() {
         return done.asMono();
     }
 
     /**
-     * The longest time from {@link #begin} to {@link #done}.
+     * Returns the maximum duration of a drain.
      *
-     * @return that time
+     * @return the maximum time from {@link #begin} to the completion of {@link #done}
      */
     public Duration limit() {
         return settings.addressesTimeToLive().plus(settings.drainLimit());
     }
 
-    private void finished() {
+    private void complete() {
         audit.add(
                 AuditEvent.Kind.DRAINING,
                 settings.name(),
-                edge.inFlight() == 0 ? "nothing in flight" : "limit reached with " + edge.inFlight() + " in flight",
+                callersEdge.inFlight() == 0
+                        ? "nothing in flight"
+                        : "limit reached with " + callersEdge.inFlight() + " in flight",
                 "draining",
                 "drained");
         done.tryEmitEmpty();
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/MemberReport.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/MemberReport.java
@@ -6,17 +6,17 @@
 import org.dotterelcourse.coordination.membership.Member;
 
 /**
- * A daemon, as this one sees it, for operators.
+ * A cluster member as seen by this daemon, written as JSON for operators.
  *
- * @param name its name
- * @param incarnation which life of it
- * @param state {@code ALIVE}, {@code LEAVING}, {@code SUSPECT} or {@code DEAD}
- * @param sinceSeconds how long this daemon has seen it in this state
- * @param address its peers' side
- * @param callersAddress its callers' side
- * @param dataCentre its data centre
- * @param region its region
- * @param configurationNumber the number that it has in force
+ * @param name the member's name
+ * @param incarnation the member's incarnation number
+ * @param state the membership state: {@code ALIVE}, {@code LEAVING}, {@code SUSPECT} or {@code DEAD}
+ * @param sinceSeconds the time in seconds since this daemon recorded the state
+ * @param address the address for other daemons, as {@code IP:port}
+ * @param callersAddress the address for clients, as the member announces it
+ * @param dataCentre the member's data centre
+ * @param region the member's region
+ * @param configurationNumber the number of the configuration that the member has in force
  */
 record MemberReport(
         String name,
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/MetricsJson.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/MetricsJson.java
@@ -6,7 +6,7 @@
 import com.codahale.metrics.MetricRegistry;
 import com.codahale.metrics.Snapshot;
 
-/** The registry's counters, gauges and timers as one flat object. Times are in milliseconds. */
+/** Converts the registry's counters, gauges and timers to a flat map by metric name, with times in milliseconds. */
 final class MetricsJson {
     private static final double NANOS_PER_MILLI = 1e6;
 
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/OperatorsEdge.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/OperatorsEdge.java
@@ -28,32 +28,32 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Serves operators: docs/PROTOCOLS.md, "Operators". */
+/** HTTP server for operators: health, status, metrics, audit trail and drain (docs/PROTOCOLS.md, "Operators"). */
 public final class OperatorsEdge implements Service {
-    /** The name that it is found by. */
+    /** Name under which the kernel registers this service. */
     public static final ServiceName<OperatorsEdge> NAME = new ServiceName<>("operators-edge", OperatorsEdge.class);
 
-    private static final Duration STOP_LIMIT = Duration.ofSeconds(1);
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(1);
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
     private static final int BAD_REQUEST = 400;
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final DaemonSettings settings;
     private final ObjectMapper json = new ObjectMapper();
     private AuditTrail audit;
-    private ConfigurationStore store;
+    private ConfigurationStore configurationStore;
     private RequestMetrics metrics;
-    private CallersEdge callers;
+    private CallersEdge callersEdge;
     private Drain drain;
     private Peers peers;
-    private OwnedGrants grants;
+    private OwnedGrants ownedGrants;
     private DisposableServer server;
 
     /**
-     * Makes an interface that doesn't listen yet.
+     * Creates the server. It does not listen before {@link #start}.
      *
-     * @param settings where to listen
+     * @param settings the daemon's settings, with the address and port to listen on
      */
     public OperatorsEdge(DaemonSettings settings) {
         this.settings = settings;
@@ -79,17 +79,17 @@
     @Override
     public List<StartupFailure> start(Kernel kernel) {
         audit = kernel.find(AuditTrail.NAME);
-        store = kernel.find(ConfigurationStore.NAME);
+        configurationStore = kernel.find(ConfigurationStore.NAME);
         metrics = kernel.find(RequestMetrics.NAME);
-        callers = kernel.find(CallersEdge.NAME);
+        callersEdge = kernel.find(CallersEdge.NAME);
         drain = kernel.find(Drain.NAME);
         peers = kernel.find(Peers.NAME);
-        grants = kernel.find(OwnedGrants.NAME);
+        ownedGrants = kernel.find(OwnedGrants.NAME);
         try {
             server = HttpServer.create()
                     .host(settings.address())
                     .port(settings.operatorsPort())
-                    .route(this::routes)
+                    .route(this::addRoutes)
                     .bindNow();
             return List.of();
         } catch (ChannelBindException e) {
@@ -99,53 +99,53 @@
 
     @Override
     public void stop() {
-        server.disposeNow(STOP_LIMIT);
+        server.disposeNow(STOP_TIMEOUT);
     }
 
     /**
-     * The TCP port that it listens on.
+     * Returns the TCP port that the server listens on.
      *
-     * @return the port
+     * @return the port, as bound by {@link #start}
      */
     public int port() {
         return server.port();
     }
 
-    private void routes(HttpServerRoutes routes) {
-        routes.get("/health", (request, response) -> text(response, OK, "ok\n"))
+    private void addRoutes(HttpServerRoutes routes) {
+        routes.get("/health", (request, response) -> sendText(response, OK, "ok\n"))
                 .get("/ready", (request, response) -> ready(response))
                 .get("/configuration", (request, response) -> configuration(response))
-                .get("/members", (request, response) -> send(response, OK, members()))
-                .get("/owners", (request, response) -> send(response, OK, grants.status()))
+                .get("/members", (request, response) -> sendJson(response, OK, members()))
+                .get("/owners", (request, response) -> sendJson(response, OK, ownedGrants.status()))
                 .get("/audit", this::audit)
-                .get("/classes", (request, response) -> send(response, OK, ClassReport.of(metrics.registry())))
-                .get("/metrics.json", (request, response) -> send(response, OK, MetricsJson.of(metrics.registry())))
-                .get("/metrics", (request, response) -> text(response, OK, PrometheusText.of(metrics.registry())))
+                .get("/classes", (request, response) -> sendJson(response, OK, ClassReport.of(metrics.registry())))
+                .get("/metrics.json", (request, response) -> sendJson(response, OK, MetricsJson.of(metrics.registry())))
+                .get("/metrics", (request, response) -> sendText(response, OK, PrometheusText.of(metrics.registry())))
                 .post("/drain", (request, response) -> beginDrain(response));
     }
 
     private Mono<Void> ready(HttpServerResponse response) {
-        if (drain.begun()) {
-            return text(response, UNAVAILABLE, "draining\n");
+        if (drain.isDraining()) {
+            return sendText(response, SERVICE_UNAVAILABLE, "draining\n");
         }
-        return store.inForce().isPresent()
-                ? text(response, OK, "ready\n")
-                : text(response, UNAVAILABLE, "no configuration yet\n");
+        return configurationStore.inForce().isPresent()
+                ? sendText(response, OK, "ready\n")
+                : sendText(response, SERVICE_UNAVAILABLE, "no configuration yet\n");
     }
 
     private Mono<Void> configuration(HttpServerResponse response) {
-        ObjectNode answer = json.createObjectNode();
-        answer.put("daemon", settings.name());
-        store.inForce().ifPresent(inForce -> {
-            answer.put("number", inForce.number());
-            answer.put("digest", inForce.digest());
-            answer.put("classes", inForce.classes().size());
-            answer.put("customers", inForce.customers().size());
-            answer.put("upstreams", inForce.upstreams().size());
+        ObjectNode status = json.createObjectNode();
+        status.put("daemon", settings.name());
+        configurationStore.inForce().ifPresent(inForce -> {
+            status.put("number", inForce.number());
+            status.put("digest", inForce.digest());
+            status.put("classes", inForce.classes().size());
+            status.put("customers", inForce.customers().size());
+            status.put("upstreams", inForce.upstreams().size());
         });
-        answer.put("inFlight", callers.inFlight());
-        answer.put("draining", drain.begun());
-        return send(response, OK, answer);
+        status.put("inFlight", callersEdge.inFlight());
+        status.put("draining", drain.isDraining());
+        return sendJson(response, OK, status);
     }
 
     private List<MemberReport> members() {
@@ -155,30 +155,30 @@
     private Mono<Void> audit(HttpServerRequest request, HttpServerResponse response) {
         List<String> after = new QueryStringDecoder(request.uri()).parameters().getOrDefault("after", List.of("0"));
         try {
-            return send(response, OK, audit.eventsAfter(Long.parseLong(after.get(0))));
+            return sendJson(response, OK, audit.eventsAfter(Long.parseLong(after.get(0))));
         } catch (NumberFormatException e) {
-            return text(response, BAD_REQUEST, "after: expected a whole number, found " + after.get(0) + "\n");
+            return sendText(response, BAD_REQUEST, "after: expected a whole number, found " + after.get(0) + "\n");
         }
     }
 
     private Mono<Void> beginDrain(HttpServerResponse response) {
         drain.begin("an operator's order");
-        return text(response, ACCEPTED, "draining\n");
+        return sendText(response, ACCEPTED, "draining\n");
     }
 
-    private Mono<Void> send(HttpServerResponse response, int status, Object value) {
+    private Mono<Void> sendJson(HttpServerResponse response, int status, Object value) {
         try {
-            return bytes(response, status, "application/json", json.writeValueAsBytes(value));
+            return sendBytes(response, status, "application/json", json.writeValueAsBytes(value));
         } catch (JsonProcessingException e) {
             return Mono.error(e);
         }
     }
 
-    private static Mono<Void> text(HttpServerResponse response, int status, String text) {
-        return bytes(response, status, "text/plain; charset=utf-8", text.getBytes(StandardCharsets.UTF_8));
+    private static Mono<Void> sendText(HttpServerResponse response, int status, String text) {
+        return sendBytes(response, status, "text/plain; charset=utf-8", text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static Mono<Void> bytes(HttpServerResponse response, int status, String contentType, byte[] body) {
+    private static Mono<Void> sendBytes(HttpServerResponse response, int status, String contentType, byte[] body) {
         response.status(status);
         response.header("Content-Type", contentType);
         response.header("Content-Length", Integer.toString(body.length));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/PrometheusText.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/PrometheusText.java
@@ -9,7 +9,7 @@
 import io.prometheus.client.dropwizard.DropwizardExports;
 import io.prometheus.client.exporter.common.TextFormat;
 
-/** The registry in the Prometheus text format, version 0.0.4. */
+/** Formats the registry's metrics in the Prometheus text format, version 0.0.4. */
 final class PrometheusText {
     private PrometheusText() {}
 
@@ -18,7 +18,7 @@
         try {
             TextFormat.write004(text, Collections.enumeration(new DropwizardExports(registry).collect()));
         } catch (IOException e) {
-            throw new UncheckedIOException("a string can always be written to", e);
+            throw new UncheckedIOException("failed to write metrics to a StringWriter", e);
         }
         return text.toString();
     }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/operators/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP side towards operators. */
+/** HTTP interface for operators. */
 package org.dotterelcourse.daemon.operators;
