--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigEntry.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigEntry.java
@@ -1,18 +1,18 @@
 package org.dotterelcourse.daemon.platform;
 
 /**
- * What the platform has published under one number.
+ * One entry of the platform's versioned configuration.
  *
- * @param number the number
- * @param kind a whole document or a patch
- * @param text INI text
+ * @param number version number assigned by the platform
+ * @param kind whether the entry is a whole document or a patch
+ * @param text the document or patch in INI format
  */
 public record ConfigEntry(long number, Kind kind, String text) {
-    /** What an entry holds. */
+    /** Type of an entry. */
     public enum Kind {
-        /** A whole document. */
+        /** A whole configuration document. */
         WHOLE,
-        /** Changes to the document of the number it names. */
+        /** Changes to the document with the base number given in the patch. */
         PATCH
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigSource.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigSource.java
@@ -2,35 +2,35 @@
 
 import reactor.core.publisher.Mono;
 
-/** The platform's configuration service, as far as a daemon may use it: to read and to watch. */
+/** Read-only client of the platform's configuration service. */
 public interface ConfigSource {
     /**
-     * The highest number published.
+     * Reads the highest published version number.
      *
-     * @return the number; an error if the service can't be reached or its quota is spent
+     * @return the number; an error if the service is unreachable or its request quota is exhausted
      */
     Mono<Long> head();
 
     /**
-     * The newest whole document.
+     * Reads the newest whole document.
      *
-     * @return the entry; empty if there is none
+     * @return the entry; empty if it does not exist
      */
     Mono<ConfigEntry> whole();
 
     /**
-     * One published entry.
+     * Reads one published entry.
      *
-     * @param number its number
-     * @return the entry; empty if there is none
+     * @param number version number of the entry
+     * @return the entry; empty if it does not exist
      */
     Mono<ConfigEntry> entry(long number);
 
     /**
-     * Waits for a newer number.
+     * Waits until a higher version number is published (long polling).
      *
-     * @param after the number already known
-     * @return the new highest number; empty if none came in time
+     * @param after the highest version number that the caller has seen
+     * @return the new highest number; empty if the service ends the wait without one; an error if the request fails
      */
     Mono<Long> watch(long after);
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationFolder.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationReducer.java
@@ -14,15 +14,16 @@
 import org.dotterelcourse.coordination.configuration.EntryReducer;
 
 /**
- * Folds published entries into configurations. The folded document is the canonical text, so that equal content has equal
- * bytes in every process. The last result is kept as it was read, so that a patch doesn't read the whole document again.
+ * Applies published entries to the configuration in force. The result is rendered as canonical text, so that equal
+ * content has equal bytes in every process. The last result is cached in parsed form, so that applying a patch does not
+ * parse the whole document again.
  */
-final class ConfigurationFolder implements EntryReducer {
+final class ConfigurationReducer implements EntryReducer {
     private final ConfigurationReader reader;
     private Configuration last;
     private byte[] lastBytes;
 
-    ConfigurationFolder(ConfigurationReader reader) {
+    ConfigurationReducer(ConfigurationReader reader) {
         this.reader = reader;
     }
 
@@ -31,36 +32,36 @@
         String name = "entry " + entry.number();
         String text = new String(entry.body(), StandardCharsets.UTF_8);
         if (entry.whole()) {
-            return result(reader.read(entry.number(), name, text));
+            return toResult(reader.read(entry.number(), name, text));
         }
         if (inForce.isEmpty()) {
             return new Refused(List.of(name + ": a patch, but no document is in force that it could apply to"));
         }
-        return result(reader.fold(configuration(inForce.get()), entry.number(), name, text));
+        return toResult(reader.fold(configuration(inForce.get()), entry.number(), name, text));
     }
 
     /**
-     * The configuration that a content holds.
+     * Parses a content, or returns the cached configuration if the content is the last result.
      *
-     * @param content bytes that this folder, or that of another daemon, has made
-     * @return the configuration
-     * @throws IllegalStateException if the bytes can't be read
+     * @param content canonical text produced by this reducer or by that of another daemon
+     * @return the parsed configuration
+     * @throws IllegalStateException if the content is not a valid configuration
      */
     Configuration configuration(Content content) {
         if (content.bytes() == lastBytes) {
             return last;
         }
         String text = new String(content.bytes(), StandardCharsets.UTF_8);
-        Checked<Configuration> read = reader.read(content.number(), "number " + content.number(), text);
-        if (read instanceof Checked.Valid<Configuration> valid) {
+        Checked<Configuration> checked = reader.read(content.number(), "number " + content.number(), text);
+        if (checked instanceof Checked.Valid<Configuration> valid) {
             last = valid.value();
             lastBytes = content.bytes();
             return last;
         }
-        throw new IllegalStateException("a daemon has folded a document that doesn't hold: " + read);
+        throw new IllegalStateException("configuration content from a daemon is not valid: " + checked);
     }
 
-    private Result result(Checked<Configuration> checked) {
+    private Result toResult(Checked<Configuration> checked) {
         if (checked instanceof Checked.Valid<Configuration> valid) {
             last = valid.value();
             lastBytes = ConfigurationText.render(last).getBytes(StandardCharsets.UTF_8);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationRelayService.java
@@ -23,35 +23,39 @@
 import reactor.core.Disposables;
 import reactor.core.publisher.Mono;
 
-/** Runs the relay of numbered configuration: reads the platform's service for it and puts in force what it decides. */
+/**
+ * Runs the {@link ConfigurationRelay}: performs its reads of the platform's configuration service and puts the
+ * configurations that it accepts in force.
+ */
 public final class ConfigurationRelayService implements Service {
-    /** The name that it is found by. */
+    /** Name under which the kernel registers this service. */
     public static final ServiceName<ConfigurationRelayService> NAME =
             new ServiceName<>("configuration-relay", ConfigurationRelayService.class);
 
     private static final long TICK_NANOS = 100_000_000L;
-    private static final int MOST_FINDINGS = 20;
+    private static final int MAX_AUDITED_FINDINGS = 20;
     private static final Logger LOG = Logger.getLogger(ConfigurationRelayService.class);
 
     private final ConfigSource source;
-    private final ConfigurationFolder folder;
+    private final ConfigurationReducer reducer;
     private final double readsPerSecond;
-    private final Disposable.Swap reads = Disposables.swap();
+    private final Disposable.Swap pendingRead = Disposables.swap();
     private ConfigurationStore store;
     private AuditTrail audit;
     private Peers peers;
     private ConfigurationDriver driver;
 
     /**
-     * Makes a service.
+     * Creates the service.
      *
-     * @param source where entries are published
-     * @param reader reads them
-     * @param readsPerSecond how many calls a second this process may make to the source in the long run
+     * @param source client of the configuration service
+     * @param reader parser for whole documents and patches
+     * @param readsPerSecond long-run limit of this process's calls to the source, in calls per second; bursts may reach
+     *     two seconds' worth of calls
      */
     public ConfigurationRelayService(ConfigSource source, ConfigurationReader reader, double readsPerSecond) {
         this.source = source;
-        this.folder = new ConfigurationFolder(reader);
+        this.reducer = new ConfigurationReducer(reader);
         this.readsPerSecond = readsPerSecond;
     }
 
@@ -72,37 +76,38 @@
         peers = kernel.find(Peers.NAME);
         RelaySettings settings = RelaySettings.STANDARD.withReadRate(readsPerSecond, 2 * readsPerSecond);
         ConfigurationRelay relay =
-                new ConfigurationRelay(folder, settings, RandomGenerator.getDefault(), System.nanoTime());
-        driver = new ConfigurationDriver(peers.transport(), relay, this::carryOut);
+                new ConfigurationRelay(reducer, settings, RandomGenerator.getDefault(), System.nanoTime());
+        driver = new ConfigurationDriver(peers.transport(), relay, this::execute);
         peers.onMembership(driver::membershipChanged);
         driver.start(TICK_NANOS);
-        // A daemon that is alone hears of no member, and would never learn that it is the one to watch the service.
+        // A daemon without peers gets no membership event. Without this call, it would never start to watch the
+        // service.
         peers.onStart(driver::membershipStarted);
         return List.of();
     }
 
     @Override
     public void stop() {
-        reads.dispose();
+        pendingRead.dispose();
     }
 
-    private void carryOut(RelayEffect effect) {
+    private void execute(RelayEffect effect) {
         if (effect instanceof RelayEffect.Watch watch) {
-            answer(source.watch(watch.after()).map(RelayEvent.HeadRead::new), new RelayEvent.WatchEnded());
+            submitResult(source.watch(watch.after()).map(RelayEvent.HeadRead::new), new RelayEvent.WatchEnded());
         } else if (effect instanceof RelayEffect.FetchHead) {
-            answer(source.head().map(RelayEvent.HeadRead::new), new RelayEvent.EntryMissing());
+            submitResult(source.head().map(RelayEvent.HeadRead::new), new RelayEvent.EntryMissing());
         } else if (effect instanceof RelayEffect.Fetch fetch) {
-            answer(source.entry(fetch.number()).map(this::read), new RelayEvent.EntryMissing());
+            submitResult(source.entry(fetch.number()).map(this::toEntryRead), new RelayEvent.EntryMissing());
         } else if (effect instanceof RelayEffect.FetchWhole) {
-            answer(source.whole().map(this::read), new RelayEvent.EntryMissing());
+            submitResult(source.whole().map(this::toEntryRead), new RelayEvent.EntryMissing());
         } else {
-            told(effect);
+            handleNotification(effect);
         }
     }
 
-    private void told(RelayEffect effect) {
+    private void handleNotification(RelayEffect effect) {
         if (effect instanceof RelayEffect.InForce inForce) {
-            store.offer(folder.configuration(inForce.content()), "published");
+            store.offer(reducer.configuration(inForce.content()), "published");
         } else if (effect instanceof RelayEffect.PositionAdvanced advanced) {
             peers.publishConfiguration(advanced.position(), advanced.digest());
         } else if (effect instanceof RelayEffect.Refused refused) {
@@ -114,27 +119,30 @@
         }
     }
 
-    /** A document in which every customer is wrong has thousands of findings; a trail of them would fill the memory. */
+    /**
+     * Truncates the list of findings. A document in which every customer is invalid has thousands of findings; the
+     * audit trail would exhaust the memory if it kept them all.
+     */
     private static String summary(List<String> findings) {
-        String first = String.join("; ", findings.subList(0, Math.min(MOST_FINDINGS, findings.size())));
-        int more = findings.size() - MOST_FINDINGS;
-        return more > 0 ? first + "; and " + more + " more" : first;
+        String first = String.join("; ", findings.subList(0, Math.min(MAX_AUDITED_FINDINGS, findings.size())));
+        int omitted = findings.size() - MAX_AUDITED_FINDINGS;
+        return omitted > 0 ? first + "; and " + omitted + " more" : first;
     }
 
-    /** The relay has one read under way at most; one that it has given up is dropped. */
-    private void answer(Mono<? extends RelayEvent> read, RelayEvent none) {
-        reads.update(read.cast(RelayEvent.class)
-                .defaultIfEmpty(none)
-                .onErrorResume(this::failed)
+    /** Submits the read's result to the relay. Cancels the previous read: the relay has at most one in flight. */
+    private void submitResult(Mono<? extends RelayEvent> read, RelayEvent eventIfEmpty) {
+        pendingRead.update(read.cast(RelayEvent.class)
+                .defaultIfEmpty(eventIfEmpty)
+                .onErrorResume(this::onReadFailure)
                 .subscribe(driver::submit));
     }
 
-    private Mono<RelayEvent> failed(Throwable error) {
-        LOG.debug("the configuration service can't be read", error);
+    private Mono<RelayEvent> onReadFailure(Throwable error) {
+        LOG.debug("read of the configuration service failed", error);
         return Mono.just(new RelayEvent.ReadFailed(0));
     }
 
-    private RelayEvent read(ConfigEntry entry) {
+    private RelayEvent toEntryRead(ConfigEntry entry) {
         boolean whole = entry.kind() == ConfigEntry.Kind.WHOLE;
         return new RelayEvent.EntryRead(
                 new Entry(entry.number(), whole, entry.text().getBytes(StandardCharsets.UTF_8)));
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationStore.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/ConfigurationStore.java
@@ -13,9 +13,9 @@
 import org.dotterelcourse.daemon.kernel.ServiceName;
 import org.dotterelcourse.daemon.kernel.StartupFailure;
 
-/** Holds the configuration in force. Its number only ever rises, whoever brings the next one. */
+/** Holds the configuration in force and notifies listeners of changes. Its version number never decreases. */
 public final class ConfigurationStore implements Service {
-    /** The name that it is found by. */
+    /** Name under which the kernel registers this service. */
     public static final ServiceName<ConfigurationStore> NAME =
             new ServiceName<>("configuration", ConfigurationStore.class);
 
@@ -45,18 +45,18 @@
     }
 
     /**
-     * The configuration in force.
+     * Returns the configuration in force.
      *
-     * @return it, or empty as long as this process has none and serves no caller
+     * @return the configuration; empty until the first one arrives, and no caller is served until then
      */
     public Optional<Configuration> inForce() {
         return Optional.ofNullable(inForce);
     }
 
     /**
-     * Calls back with the configuration in force, if there is one, and with every later one.
+     * Adds a listener and calls it with the configuration in force, if there is one, and with every later one.
      *
-     * @param listener called on the thread that brings the configuration; must not block
+     * @param listener called on the thread that adds the listener or offers the configuration; must not block
      */
     public synchronized void onChange(Consumer<Configuration> listener) {
         listeners.add(listener);
@@ -66,17 +66,18 @@
     }
 
     /**
-     * Puts a configuration in force, unless one with the same or a higher number is.
+     * Puts a configuration in force, unless the one in force has the same or a higher number.
      *
-     * @param next the configuration
-     * @param cause where it came from, for the audit trail
-     * @return whether it is in force now because of this call
+     * @param next the new configuration
+     * @param cause origin of the configuration, recorded in the audit trail
+     * @return whether this call put the configuration in force
      */
     public synchronized boolean offer(Configuration next, String cause) {
-        Configuration before = inForce;
-        // A reader that was paused, or a service that lost its newest entries, brings an old number late. Taking it
-        // would undo a change that callers have seen in force.
-        if (before != null && next.number() <= before.number()) {
+        Configuration previous = inForce;
+        // A paused reader, or a service that lost its newest entries, can deliver an old number late. Accepting it
+        // would
+        // revert a change that callers have already observed.
+        if (previous != null && next.number() <= previous.number()) {
             return false;
         }
         inForce = next;
@@ -84,7 +85,7 @@
                 AuditEvent.Kind.CONFIGURATION,
                 next.digest(),
                 cause,
-                before == null ? "" : Long.toString(before.number()),
+                previous == null ? "" : Long.toString(previous.number()),
                 Long.toString(next.number()));
         listeners.forEach(listener -> listener.accept(next));
         return true;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/HttpConfigSource.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/HttpConfigSource.java
@@ -9,11 +9,11 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Reads the configuration service over HTTP: docs/PROTOCOLS.md, "Configuration service". */
+/** HTTP client of the configuration service; see docs/PROTOCOLS.md, "Configuration service". */
 public final class HttpConfigSource implements ConfigSource {
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(2);
 
-    /** The service holds a watch for 10 s; a watch that is silent for longer hangs on a lost connection. */
+    /** The service answers a watch within 10 s; a longer silence means that the connection is lost. */
     private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(13);
 
     private static final int OK = 200;
@@ -24,9 +24,9 @@
     private final ObjectMapper json = new ObjectMapper();
 
     /**
-     * Makes a reader. It keeps no budget: whoever reads through it does.
+     * Creates a client. It does not limit the rate of its calls; the caller has to.
      *
-     * @param address IP number and port
+     * @param address IP address and port of the service
      */
     public HttpConfigSource(String address) {
         this.client = HttpClient.create().baseUrl("http://" + address);
@@ -34,57 +34,59 @@
 
     @Override
     public Mono<Long> head() {
-        return read("/v1/configuration/head", READ_TIMEOUT).map(answer -> numberIn(answer.body()));
+        return read("/v1/configuration/head", READ_TIMEOUT).map(response -> parseNumber(response.body()));
     }
 
     @Override
     public Mono<ConfigEntry> whole() {
-        return read("/v1/configuration/whole", READ_TIMEOUT).map(HttpConfigSource::entryIn);
+        return read("/v1/configuration/whole", READ_TIMEOUT).map(HttpConfigSource::parseEntry);
     }
 
     @Override
     public Mono<ConfigEntry> entry(long number) {
-        return read("/v1/configuration/" + number, READ_TIMEOUT).map(HttpConfigSource::entryIn);
+        return read("/v1/configuration/" + number, READ_TIMEOUT).map(HttpConfigSource::parseEntry);
     }
 
     @Override
     public Mono<Long> watch(long after) {
-        return read("/v1/configuration/watch?after=" + after, WATCH_TIMEOUT).map(answer -> numberIn(answer.body()));
+        return read("/v1/configuration/watch?after=" + after, WATCH_TIMEOUT)
+                .map(response -> parseNumber(response.body()));
     }
 
-    private Mono<Answer> read(String path, Duration timeout) {
+    private Mono<Response> read(String path, Duration timeout) {
         return client.get()
                 .uri(path)
                 .responseSingle((response, body) -> body.asString()
                         .defaultIfEmpty("")
-                        .map(text -> new Answer(response.status().code(), response.responseHeaders(), text)))
+                        .map(text -> new Response(response.status().code(), response.responseHeaders(), text)))
                 .timeout(timeout)
-                .flatMap(answer -> checked(path, answer));
+                .flatMap(response -> checkStatus(path, response));
     }
 
-    private static Mono<Answer> checked(String path, Answer answer) {
-        if (answer.status() == NO_CONTENT || answer.status() == NOT_FOUND) {
+    private static Mono<Response> checkStatus(String path, Response response) {
+        if (response.status() == NO_CONTENT || response.status() == NOT_FOUND) {
             return Mono.empty();
         }
-        if (answer.status() != OK) {
-            return Mono.error(new IOException("the configuration service answers " + answer.status() + " to " + path));
+        if (response.status() != OK) {
+            return Mono.error(
+                    new IOException("configuration service returned status " + response.status() + " for " + path));
         }
-        return Mono.just(answer);
+        return Mono.just(response);
     }
 
-    private long numberIn(String body) {
+    private long parseNumber(String body) {
         try {
             return json.readTree(body).required("number").asLong();
         } catch (IOException | IllegalArgumentException e) {
-            throw new IllegalStateException("the configuration service's answer has no number", e);
+            throw new IllegalStateException("response of the configuration service has no number", e);
         }
     }
 
-    private static ConfigEntry entryIn(Answer answer) {
-        long number = Long.parseLong(answer.headers().get("X-Number"));
-        String kind = answer.headers().get("X-Kind").toUpperCase(Locale.ROOT);
-        return new ConfigEntry(number, ConfigEntry.Kind.valueOf(kind), answer.body());
+    private static ConfigEntry parseEntry(Response response) {
+        long number = Long.parseLong(response.headers().get("X-Number"));
+        String kind = response.headers().get("X-Kind").toUpperCase(Locale.ROOT);
+        return new ConfigEntry(number, ConfigEntry.Kind.valueOf(kind), response.body());
     }
 
-    private record Answer(int status, HttpHeaders headers, String body) {}
+    private record Response(int status, HttpHeaders headers, String body) {}
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/HttpVmList.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/HttpVmList.java
@@ -11,7 +11,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Reads the list of VMs over HTTP: docs/PROTOCOLS.md, "List of VMs". */
+/** HTTP client of the platform's list of VMs; see docs/PROTOCOLS.md, "List of VMs". */
 public final class HttpVmList implements VmList {
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
@@ -19,9 +19,9 @@
     private final ObjectMapper json = new ObjectMapper();
 
     /**
-     * Makes a reader.
+     * Creates a client.
      *
-     * @param address IP number and port
+     * @param address IP address and port of the service
      */
     public HttpVmList(String address) {
         this.client = HttpClient.create().baseUrl("http://" + address);
@@ -40,7 +40,7 @@
 
     private List<Vm> parse(String body) {
         List<Vm> vms = new ArrayList<>();
-        for (JsonNode vm : tree(body).path("vms")) {
+        for (JsonNode vm : parseJson(body).path("vms")) {
             vms.add(new Vm(
                     vm.path("name").asText(),
                     vm.path("kind").asText(),
@@ -52,11 +52,11 @@
         return vms;
     }
 
-    private JsonNode tree(String body) {
+    private JsonNode parseJson(String body) {
         try {
             return json.readTree(body);
         } catch (IOException e) {
-            throw new UncheckedIOException("the list of VMs is not JSON", e);
+            throw new UncheckedIOException("the list of VMs is not valid JSON", e);
         }
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/Vm.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/Vm.java
@@ -1,16 +1,16 @@
 package org.dotterelcourse.daemon.platform;
 
 /**
- * One line of the platform's list of VMs.
+ * One VM in the platform's list.
  *
- * @param name the VM's name
- * @param kind {@code entry} or {@code upstream}
- * @param address IP number and port
- * @param dataCentre its data centre
- * @param region its region
- * @param leaving whether the platform is taking it away
+ * @param name name of the VM, as assigned by the platform
+ * @param kind {@code entry} for a VM that runs a daemon, {@code upstream} for a VM that runs an upstream
+ * @param address IP address and port
+ * @param dataCentre name of the VM's data centre
+ * @param region name of the VM's region
+ * @param leaving whether the platform is about to remove the VM
  */
 public record Vm(String name, String kind, String address, String dataCentre, String region, boolean leaving) {
-    /** The kind of a VM that runs a daemon. */
+    /** Value of {@link #kind} for a VM that runs a daemon. */
     public static final String ENTRY = "entry";
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/VmList.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/VmList.java
@@ -5,20 +5,20 @@
 
 import reactor.core.publisher.Mono;
 
-/** The platform's list of VMs. It lags behind the truth. */
+/** Client of the platform's list of VMs. The list lags behind the actual state of the VMs. */
 public interface VmList {
     /**
      * Reads the list.
      *
-     * @return all VMs it names; an error if it can't be read
+     * @return all listed VMs; an error if the list can't be read or parsed
      */
     Mono<List<Vm>> read();
 
     /**
-     * How often to read it.
+     * Returns the polling interval of the list.
      *
-     * @return time between two reads: a leaving upstream must get no new work after a few seconds, of which the list's own
-     *     lag takes the rest
+     * @return time between two reads; kept short because a leaving upstream must get no new work after a few seconds,
+     *     and the lag of the list itself uses up most of that time
      */
     default Duration period() {
         return Duration.ofMillis(500);
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/VmWatcher.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/VmWatcher.java
@@ -18,9 +18,12 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Polls the list of VMs. When it can't be read, the last list stays: a list that is late beats none. */
+/**
+ * Polls the list of VMs and notifies listeners of changes. The last list stays in use while the list can't be read,
+ * because an outdated list is better than none.
+ */
 public final class VmWatcher implements Service {
-    /** The name that it is found by. */
+    /** Name under which the kernel registers this service. */
     public static final ServiceName<VmWatcher> NAME = new ServiceName<>("vm-watcher", VmWatcher.class);
 
     private static final Logger LOG = Logger.getLogger(VmWatcher.class);
@@ -32,9 +35,9 @@
     private volatile List<Vm> vms = List.of();
 
     /**
-     * Makes a watcher.
+     * Creates a watcher.
      *
-     * @param source the list
+     * @param source client that reads the list
      */
     public VmWatcher(VmList source) {
         this.source = source;
@@ -55,8 +58,8 @@
         audit = kernel.find(AuditTrail.NAME);
         polling = Flux.interval(Duration.ZERO, source.period())
                 .onBackpressureDrop()
-                .concatMap(tick -> source.read().onErrorResume(this::unreadable), 1)
-                .subscribe(this::changed);
+                .concatMap(tick -> source.read().onErrorResume(this::onReadFailure), 1)
+                .subscribe(this::update);
         return List.of();
     }
 
@@ -67,44 +70,44 @@
     }
 
     /**
-     * The newest list that could be read.
+     * Returns the last list that was read successfully.
      *
-     * @return the VMs, empty before the first list
+     * @return the VMs; empty before the first successful read
      */
     public List<Vm> vms() {
         return vms;
     }
 
     /**
-     * Calls back with the newest list and with every changed one.
+     * Adds a listener and calls it with the current list and with every changed one.
      *
-     * @param listener must not block
+     * @param listener called on the thread that adds the listener or reads the list; must not block
      */
     public void onChange(Consumer<List<Vm>> listener) {
         listeners.add(listener);
         listener.accept(vms);
     }
 
-    private Mono<List<Vm>> unreadable(Throwable error) {
-        LOG.debug("the list of VMs can't be read", error);
+    private Mono<List<Vm>> onReadFailure(Throwable error) {
+        LOG.debug("read of the list of VMs failed; keeping the last list", error);
         return Mono.empty();
     }
 
-    private void changed(List<Vm> next) {
+    private void update(List<Vm> next) {
         if (next.equals(vms)) {
             return;
         }
-        Set<String> before = leaving(vms);
+        Set<String> previouslyLeaving = leavingNames(vms);
         vms = List.copyOf(next);
-        for (String name : leaving(next)) {
-            if (!before.contains(name)) {
+        for (String name : leavingNames(next)) {
+            if (!previouslyLeaving.contains(name)) {
                 audit.add(AuditEvent.Kind.UPSTREAM, name, "the platform's list", "live", "leaving");
             }
         }
         listeners.forEach(listener -> listener.accept(vms));
     }
 
-    private static Set<String> leaving(List<Vm> list) {
+    private static Set<String> leavingNames(List<Vm> list) {
         return list.stream().filter(Vm::leaving).map(Vm::name).collect(Collectors.toSet());
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/platform/package-info.java
@@ -1,2 +1,2 @@
-/** What the platform publishes: numbered configuration and the list of VMs. */
+/** Clients of the platform's services: the versioned configuration and the list of VMs. */
 package org.dotterelcourse.daemon.platform;
