--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/Daemon.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/Daemon.java
@@ -33,16 +33,16 @@
 import org.dotterelcourse.daemon.upstream.UpstreamTimeouts;
 import org.dotterelcourse.policy.cell.TieredScheduler;
 
-/** One daemon: its services, put together from its settings. */
+/** One daemon: creates all services from the settings, and starts and stops them. */
 public final class Daemon {
-    private static final int MAX_ANSWER_BYTES = 8 << 20;
+    private static final int MAX_SERVICE_RESPONSE_BYTES = 8 << 20;
 
     private final Kernel kernel = new Kernel();
 
     /**
-     * Puts a daemon together; nothing runs before {@link #start()}.
+     * Creates the services of a daemon; none of them runs before {@link #start()}.
      *
-     * @param settings its settings
+     * @param settings settings of the daemon
      */
     public Daemon(DaemonSettings settings) {
         long incarnation = System.currentTimeMillis();
@@ -60,7 +60,7 @@
                 .register(new LoadPoller(new HttpLoadReports()))
                 .register(new EngineOrders(new HttpEngineControl()))
                 .register(new Dispatchers(
-                        new HttpEngine(timeouts), new HttpPlainService(timeouts.connect(), MAX_ANSWER_BYTES)))
+                        new HttpEngine(timeouts), new HttpPlainService(timeouts.connect(), MAX_SERVICE_RESPONSE_BYTES)))
                 .register(new Tickets())
                 .register(new Limits())
                 .register(new RequestMetrics())
@@ -71,50 +71,50 @@
     }
 
     /**
-     * Starts every service.
+     * Starts all services.
      *
-     * @return what kept it from starting, empty if it runs
+     * @return the reasons why the daemon could not start; empty if it runs
      */
     public List<StartupFailure> start() {
         return kernel.start();
     }
 
-    /** Stops every service at once; {@link #drain} comes first where requests are not to be cut off. */
+    /** Stops all services and cuts off requests in flight. To let these finish, complete a {@link #drain} first. */
     public void stop() {
         kernel.stop();
     }
 
     /**
-     * The shutdown that cuts off no request.
+     * Returns the service that shuts the daemon down without cutting off requests.
      *
-     * @return its service
+     * @return the drain service
      */
     public Drain drain() {
         return kernel.find(Drain.NAME);
     }
 
     /**
-     * The TCP port for callers.
+     * Returns the TCP port for callers.
      *
-     * @return the port it listens on
+     * @return the bound port, also if the settings let the system choose one
      */
     public int callersPort() {
         return kernel.find(CallersEdge.NAME).port();
     }
 
     /**
-     * The TCP and UDP port for other daemons.
+     * Returns the TCP and UDP port for peer daemons.
      *
-     * @return the port it listens on
+     * @return the bound port, also if the settings let the system choose one
      */
     public int peersPort() {
         return kernel.find(Peers.NAME).port();
     }
 
     /**
-     * The TCP port for operators.
+     * Returns the TCP port for operators.
      *
-     * @return the port it listens on
+     * @return the bound port, also if the settings let the system choose one
      */
     public int operatorsPort() {
         return kernel.find(OperatorsEdge.NAME).port();
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/Main.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/Main.java
@@ -8,17 +8,18 @@
 public final class Main {
     static {
         JsonLog.choose();
-        // The platform's VMs are not to be used through anything but plain sockets.
+        // The platform's VMs may be used only through plain sockets, so native transports are off.
         System.setProperty("reactor.netty.native", "false");
     }
 
     private Main() {}
 
     /**
-     * Runs the daemon. Exit code 2 means that nothing was started: the settings or the command line are wrong.
+     * Runs the daemon until it has drained. Exit code 2 means that the daemon was not started: the command line or the
+     * settings are invalid, or a service failed to start.
      *
-     * @param args the command line
-     * @throws InterruptedException if the main thread is interrupted
+     * @param args command-line arguments
+     * @throws InterruptedException if the main thread is interrupted while the daemon runs
      */
     public static void main(String[] args) throws InterruptedException {
         RunCommand command;
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/RunCommand.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/RunCommand.java
@@ -16,7 +16,7 @@
 import org.dotterelcourse.configuration.DaemonSettingsReader;
 import org.dotterelcourse.daemon.kernel.StartupFailure;
 
-/** Runs a daemon until SIGTERM, which drains it. */
+/** Command that runs a daemon until it has drained; SIGTERM starts the drain. */
 @Command(name = "run", description = "Run a daemon until SIGTERM, which drains it")
 public final class RunCommand {
     static final int EXIT_NOT_STARTED = 2;
@@ -29,9 +29,9 @@
     private String settingsFile;
 
     /**
-     * Runs.
+     * Reads the settings, starts the daemon and waits until it has drained. Errors go to standard error.
      *
-     * @return the exit code
+     * @return the exit code: 0 after a drain, {@link #EXIT_NOT_STARTED} if the daemon could not start
      * @throws InterruptedException if the thread is interrupted while the daemon runs
      */
     int run() throws InterruptedException {
@@ -52,22 +52,22 @@
 
     private static int run(DaemonSettings settings) throws InterruptedException {
         Daemon daemon = new Daemon(settings);
-        List<StartupFailure> findings = daemon.start();
-        if (!findings.isEmpty()) {
-            findings.forEach(finding -> System.err.println(finding.service() + ": " + finding.problem()));
+        List<StartupFailure> failures = daemon.start();
+        if (!failures.isEmpty()) {
+            failures.forEach(failure -> System.err.println(failure.service() + ": " + failure.problem()));
             return EXIT_NOT_STARTED;
         }
         CountDownLatch drained = new CountDownLatch(1);
-        daemon.drain().done().subscribe(none -> {}, error -> {}, drained::countDown);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(daemon, drained), "shutdown"));
+        daemon.drain().done().subscribe(ignored -> {}, error -> {}, drained::countDown);
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> drainAndWait(daemon, drained), "shutdown"));
         System.out.println(readyLine(settings, daemon));
         drained.await();
         daemon.stop();
         return 0;
     }
 
-    /** The signal's handler holds up the end of the process until the last request in flight has its answer. */
-    private static void shutDown(Daemon daemon, CountDownLatch drained) {
+    /** Starts the drain and blocks the shutdown hook, so that the process exits only after the requests in flight. */
+    private static void drainAndWait(Daemon daemon, CountDownLatch drained) {
         daemon.drain().begin("SIGTERM");
         try {
             drained.await();
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon: a kernel of named services around the callers' edge, the upstream client and the other daemons. */
+/** The daemon: a kernel of named services for callers, operators, upstreams and peer daemons. */
 package org.dotterelcourse.daemon;
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/DaemonTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/DaemonTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void answersWholeAndInPiecesWithTheSameText() throws Exception {
+    void returnsTheSameTextWithAndWithoutStreaming() throws Exception {
         String prompt = "When is the coupon due? [[tokens=20]]";
         String expected = ExpectedAnswer.whole(ExpectedAnswer.promptOf(prompt), 400);
 
@@ -37,51 +37,50 @@
         assertThat(whole.headers().firstValue("X-Outcome")).contains("answered");
         assertThat(answer.at("/choices/0/message/content").asText()).isEqualTo(expected);
         assertThat(answer.at("/usage/completion_tokens").asInt()).isEqualTo(20);
-        assertThat(textOf(stream.body())).isEqualTo(expected);
+        assertThat(joinDeltas(stream.body())).isEqualTo(expected);
         assertThat(stream.body()).endsWith("data: [DONE]\n\n");
     }
 
     @Test
-    void tellsWhatIsWrongWithARequestAndThatItWasNotRun() {
+    void reportsTheErrorAndOutcomeNotRunForInvalidRequests() {
         String good = "{\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
         assertProblem(fleet.chat(0, "nonsense", "x", false), 404, "\"known\":[");
         assertProblem(fleet.chat(0, "check", "x", false), 404, "served by a plain service");
         assertProblem(
                 fleet.chat(0, "question", "x", false).setHeader("Authorization", "Bearer no"), 401, "no customer");
-        assertProblem(body("not json"), 400, "not JSON");
-        assertProblem(body("{\"messages\":[]}"), 400, "messages");
-        assertProblem(body(good.replace("]}", "],\"max_tokens\":-1}")), 400, "max_tokens");
-        assertProblem(body(good.replace("]}", "],\"model\":\"other\"}")), 404, "\"known\":[\"bond\"]");
-        assertProblem(body("x".repeat(3000)), 413, "too large");
+        assertProblem(chatWithBody("not json"), 400, "not JSON");
+        assertProblem(chatWithBody("{\"messages\":[]}"), 400, "messages");
+        assertProblem(chatWithBody(good.replace("]}", "],\"max_tokens\":-1}")), 400, "max_tokens");
+        assertProblem(chatWithBody(good.replace("]}", "],\"model\":\"other\"}")), 404, "\"known\":[\"bond\"]");
+        assertProblem(chatWithBody("x".repeat(3000)), 413, "too large");
         assertProblem(fleet.call(0, "/v1/services/none/x").GET(), 404, "\"known\":[\"counter\"]");
         assertProblem(fleet.call(0, "/nowhere").GET(), 404, "nothing at");
     }
 
     @Test
-    void goesOnAtAnotherEngineWhenOneCrashesInTheMiddleOfAnAnswer() throws Exception {
-        // An engine's VM is lost while it streams. The caller sees a pause, and then the rest of the same answer: not a
-        // cut stream, not an answer that begins again, and no token computed twice.
+    void resumesAStreamOnAnotherEngineAfterACrash() throws Exception {
+        // Guards against a truncated or restarted stream, and against tokens computed twice, when an engine's VM
+        // crashes while it streams. The caller must get the rest of the same answer after a pause.
         String prompt = "Summarise the amendments. [[tokens=300]]";
         HttpResponse<InputStream> stream = fleet.open(fleet.chat(0, "question", prompt, true));
         FleetFixture.await(() -> fleet.engines[0].running() + fleet.engines[1].running() == 1);
-        int busy = fleet.engines[0].running() == 1 ? 0 : 1;
+        int active = fleet.engines[0].running() == 1 ? 0 : 1;
         byte[] start = stream.body().readNBytes(400);
 
-        fleet.engines[busy].fault(Fault.of(Fault.Kind.CRASH));
+        fleet.engines[active].fault(Fault.of(Fault.Kind.CRASH));
 
         String all = new String(start, java.nio.charset.StandardCharsets.UTF_8) + FleetFixture.text(stream.body());
-        assertThat(textOf(all)).isEqualTo(ExpectedAnswer.whole(ExpectedAnswer.promptOf(prompt), 400));
+        assertThat(joinDeltas(all)).isEqualTo(ExpectedAnswer.whole(ExpectedAnswer.promptOf(prompt), 400));
         assertThat(all).endsWith("data: [DONE]\n\n");
         RequestCount resumed =
-                fleet.engines[1 - busy].stats().values().iterator().next();
+                fleet.engines[1 - active].stats().values().iterator().next();
         assertThat(resumed.generated()).isLessThan(300);
     }
 
     @Test
-    void marksTheEndOfAnAnswerThatMayNotRunAgain() throws Exception {
-        // A signed draft must not be made twice, so its answer can't go on elsewhere when the engine is lost. The
-        // caller
-        // is told so by an error event; a stream that just ended would be taken for a whole draft.
+    void endsANonIdempotentStreamWithAnErrorEventAfterACrash() throws Exception {
+        // A signed draft is not idempotent, so no other engine may resume its answer after a crash. Without the error
+        // event, the caller would take the truncated stream for a complete draft.
         HttpResponse<InputStream> stream = fleet.open(fleet.chat(0, "signed", "Draft. [[tokens=300]]", true));
         byte[] start = stream.body().readNBytes(400);
 
@@ -97,55 +96,55 @@
     }
 
     @Test
-    void runsAPayoutOnceAndTellsUnknownWhenTheAnswerIsLost() {
-        // The service's VM is lost after it was sent a payout. Nobody can tell whether it ran; sending it to the other
-        // one would pay twice.
+    void runsAPayoutOnceAndReportsUnknownWhenTheResponseIsLost() {
+        // The service's VM crashes after it was sent a payout, so the daemon can't know whether it ran. A retry on the
+        // other service could pay twice.
         fleet.services[0].fault(Fault.slow(10_000));
         fleet.services[1].fault(Fault.slow(10_000));
-        Thread cut = new Thread(() -> {
-            FleetFixture.await(() -> fleet.runs("p-1") == 1);
+        Thread crash = new Thread(() -> {
+            FleetFixture.await(() -> fleet.runCount("p-1") == 1);
             fleet.services[0].fault(Fault.of(Fault.Kind.CRASH));
             fleet.services[1].fault(Fault.of(Fault.Kind.CRASH));
         });
-        cut.start();
+        crash.start();
 
-        HttpResponse<String> lost = fleet.send(fleet.service(0, "payout", "p-1"));
+        HttpResponse<String> response = fleet.send(fleet.service(0, "payout", "p-1"));
 
-        assertThat(lost.body()).contains("\"outcome\":\"unknown\"");
-        assertThat(fleet.runs("p-1")).isEqualTo(1);
+        assertThat(response.body()).contains("\"outcome\":\"unknown\"");
+        assertThat(fleet.runCount("p-1")).isEqualTo(1);
     }
 
     @Test
-    void sendsAPayoutElsewhereWhenItCertainlyHasNotRun() {
-        // One service's VM is gone and refuses connections: not a byte was written, so the other one may run the
-        // payout.
+    void retriesAPayoutOnAnotherWorkerAfterARefusedConnection() {
+        // One service's VM is down and refuses connections. No byte was written, so a retry on the other service can't
+        // pay twice.
         fleet.services[0].fault(Fault.of(Fault.Kind.CRASH));
 
         for (int i = 0; i < 6; i++) {
             assertThat(fleet.send(fleet.service(0, "payout", "q-" + i)).statusCode())
                     .isEqualTo(200);
-            assertThat(fleet.runs("q-" + i)).isEqualTo(1);
+            assertThat(fleet.runCount("q-" + i)).isEqualTo(1);
         }
     }
 
     @Test
-    void runsATicketedPayoutOnceWhicheverDaemonItIsRepeatedAt() {
-        // A teller's program gets no answer, asks for other addresses and sends the payout again to another daemon.
-        String ticket = ticket();
+    void runsAPayoutWithATicketOnceWhenItIsRepeatedAtAnotherDaemon() {
+        // A client without a response reads the addresses again and repeats the payout at another daemon.
+        String ticket = mintTicket();
 
         HttpResponse<String> first =
                 fleet.send(fleet.service(1, "payout", "t-1").header("X-Ticket", ticket));
-        HttpResponse<String> again =
+        HttpResponse<String> repeated =
                 fleet.send(fleet.service(0, "payout", "t-1").header("X-Ticket", ticket));
 
         assertThat(first.statusCode()).isEqualTo(200);
-        assertThat(again.statusCode()).isEqualTo(409);
-        assertThat(fleet.runs("t-1")).isEqualTo(1);
+        assertThat(repeated.statusCode()).isEqualTo(409);
+        assertThat(fleet.runCount("t-1")).isEqualTo(1);
     }
 
     @Test
-    void neverRunsACallWhoseTicketWasBurned() {
-        String ticket = ticket();
+    void doesNotRunACallAfterItsTicketWasBurned() {
+        String ticket = mintTicket();
 
         HttpResponse<String> burned =
                 fleet.send(fleet.call(1, "/v1/tickets/" + ticket).DELETE());
@@ -153,12 +152,14 @@
 
         assertThat(burned.body()).contains("\"outcome\":\"not-run\"");
         assertThat(late.body()).contains("\"outcome\":\"not-run\"");
-        assertThat(fleet.runs("b-1")).isZero();
+        assertThat(fleet.runCount("b-1")).isZero();
     }
 
     @Test
-    void cancelsTheWorkOfACallerThatGoesAway() throws Exception {
-        // A bond holder closes the page. What the engine would go on generating is wasted work.
+    void cancelsEngineWorkWhenTheCallerDisconnects() throws Exception {
+        // Guards against wasted engine time: without a cancellation, the engine would generate the rest of the answer
+        // after
+        // the caller has closed the connection.
         HttpResponse<InputStream> stream = fleet.open(fleet.chat(0, "question", "Long. [[tokens=400]]", true));
         stream.body().readNBytes(200);
         stream.body().close();
@@ -175,14 +176,14 @@
 
     @Test
     void drainsWithoutCuttingOffAStream() throws Exception {
-        // An operator replaces a VM while an answer streams through it. The caller gets the rest of it; new callers are
-        // sent elsewhere.
+        // An operator replaces a VM while an answer streams through its daemon. The caller must get the rest of the
+        // answer, and new callers must not get the address of this daemon.
         String prompt = "Long. [[tokens=250]]";
         HttpResponse<InputStream> stream = fleet.open(fleet.chat(0, "question", prompt, true));
 
         fleet.daemons.get(0).drain().begin("test");
 
-        assertThat(textOf(FleetFixture.text(stream.body())))
+        assertThat(joinDeltas(FleetFixture.text(stream.body())))
                 .isEqualTo(ExpectedAnswer.whole(ExpectedAnswer.promptOf(prompt), 400));
         fleet.daemons.get(0).drain().done().block(fleet.daemons.get(0).drain().limit());
         FleetFixture.await(() -> !fleet.send(fleet.call(1, "/v1/addresses").GET())
@@ -191,19 +192,18 @@
     }
 
     @Test
-    void rollsAModelVersionWhileCallersAreServed() {
-        // An operator puts version 2 of a model in force. The engines have only version 1 loaded; each is to get
-        // version
-        // 2 and then lose version 1, and no caller is to notice.
+    void rollsOutAModelVersionWithoutFailedRequests() {
+        // An operator puts version 2 of a model in force while the engines have only version 1 loaded. Each engine must
+        // load version 2 and then unload version 1, and no request may fail meanwhile.
         fleet.configuration.publish(
                 ConfigurationServiceStandIn.Kind.PATCH,
                 "[patch]\nbase = 1\nauthor = test\nreason = roll\n[set class question]\nversion = 2\n"
                         + "[set class signed]\nversion = 2\n");
 
         FleetFixture.await(() -> {
-            HttpResponse<String> answer = fleet.send(fleet.chat(1, "question", "x [[tokens=2]]", false));
-            assertThat(answer.statusCode()).as(answer.body()).isEqualTo(200);
-            return fleet.hasOnly("2");
+            HttpResponse<String> response = fleet.send(fleet.chat(1, "question", "x [[tokens=2]]", false));
+            assertThat(response.statusCode()).as(response.body()).isEqualTo(200);
+            return fleet.haveOnlyVersion("2");
         });
         assertThat(fleet.get(fleet.daemons.get(0).operatorsPort(), "/audit")
                         + fleet.get(fleet.daemons.get(1).operatorsPort(), "/audit"))
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void showsOperatorsWhatItCountedAndTellsThemWhatIsWrongWithACall() {
+    void servesMetricsToOperatorsAndReportsInvalidQueryParameters() {
         fleet.send(fleet.service(0, "payout", "m-1"));
         fleet.send(fleet.service(0, "nonsense", "m-2"));
         int port = fleet.daemons.get(0).operatorsPort();
@@ -224,14 +224,14 @@
         assertThat(fleet.get(port, "/audit?after=x")).isEqualTo("after: expected a whole number, found x\n");
     }
 
-    private String ticket() {
-        HttpResponse<String> minted =
+    private String mintTicket() {
+        HttpResponse<String> response =
                 fleet.send(fleet.call(0, "/v1/tickets").POST(HttpRequest.BodyPublishers.noBody()));
-        assertThat(minted.statusCode()).isEqualTo(201);
-        return minted.body().replaceAll(".*\"ticket\":\"([^\"]+)\".*", "$1");
+        assertThat(response.statusCode()).isEqualTo(201);
+        return response.body().replaceAll(".*\"ticket\":\"([^\"]+)\".*", "$1");
     }
 
-    private HttpRequest.Builder body(String body) {
+    private HttpRequest.Builder chatWithBody(String body) {
         return fleet.call(0, "/v1/chat/completions").POST(HttpRequest.BodyPublishers.ofString(body));
     }
 
@@ -242,7 +242,7 @@
         assertThat(response.body()).contains("\"outcome\":\"not-run\"").contains(detail);
     }
 
-    private String textOf(String events) throws Exception {
+    private String joinDeltas(String events) throws Exception {
         StringBuilder text = new StringBuilder();
         for (String line : events.split("\n")) {
             if (line.startsWith("data: {")) {
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/FleetFixture.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/FleetFixture.java
@@ -22,7 +22,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Two engines, two plain services, the platform's stand-ins and a few daemons, all in this process. */
+/** Fleet in this process: two engines, two plain services, the platform's stand-ins and a given number of daemons. */
 final class FleetFixture implements AutoCloseable {
     static final String KEY = "test-key";
 
@@ -38,22 +38,22 @@
             VmListStandIn.builder().lag(Duration.ZERO).build().start();
     private final HttpClient http = HttpClient.newHttpClient();
 
-    FleetFixture(int count) {
+    FleetFixture(int daemonCount) {
         for (int i = 0; i < 2; i++) {
             engines[i] = EngineStandIn.builder().model("bond", "1").build().start();
             services[i] = ServiceStandIn.builder().build().start();
         }
         configuration.publish(ConfigurationServiceStandIn.Kind.WHOLE, document());
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < daemonCount; i++) {
             daemons.add(new Daemon(settings(i)));
             assertThat(daemons.get(i).start()).isEmpty();
         }
-        listDaemons();
-        await(() -> daemons.stream().allMatch(this::serves));
+        publishVmList();
+        await(() -> daemons.stream().allMatch(this::isReady));
     }
 
-    /** All daemons are ready and agree on who owns the two cells. */
-    private boolean serves(Daemon daemon) {
+    /** Whether the daemon is ready, sees all members and reports the same cell owners as the first daemon. */
+    private boolean isReady(Daemon daemon) {
         String owners = get(daemon.operatorsPort(), "/owners");
         return get(daemon.operatorsPort(), "/ready").equals("ready\n")
                 && get(daemon.operatorsPort(), "/members").split("\"ALIVE\"", -1).length == daemons.size() + 1
@@ -61,7 +61,7 @@
                 && !owners.contains("\"owner\":\"\"");
     }
 
-    private void listDaemons() {
+    private void publishVmList() {
         List<VmListStandIn.Vm> list = new ArrayList<>();
         for (int i = 0; i < daemons.size(); i++) {
             String address = "127.0.0.1:" + daemons.get(i).peersPort();
@@ -108,28 +108,28 @@
                 .body();
     }
 
-    int runs(String id) {
+    int runCount(String id) {
         return services[0].runs().getOrDefault(id, 0) + services[1].runs().getOrDefault(id, 0);
     }
 
-    /** Whether every engine has this version loaded and no other. */
-    boolean hasOnly(String version) {
-        String only = "\"models\":[{\"model\":\"bond\",\"version\":\"" + version + "\"}]";
+    /** Whether every engine has only this model version loaded. */
+    boolean haveOnlyVersion(String version) {
+        String expected = "\"models\":[{\"model\":\"bond\",\"version\":\"" + version + "\"}]";
         for (EngineStandIn engine : engines) {
             String load = send(HttpRequest.newBuilder(URI.create("http://" + engine.address() + "/v1/load")))
                     .body();
-            if (!load.contains(only)) {
+            if (!load.contains(expected)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Waits for a condition with a bound that only a fault can reach. */
+    /** Waits for a condition; fails after 30 s, a limit far above the usual time. */
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + Duration.ofSeconds(30).toNanos();
+        long deadlineNanos = System.nanoTime() + Duration.ofSeconds(30).toNanos();
         while (!condition.getAsBoolean()) {
-            assertThat(System.nanoTime()).as("the condition came true in time").isLessThan(end);
+            assertThat(System.nanoTime()).as("the condition came true in time").isLessThan(deadlineNanos);
             Thread.onSpinWait();
         }
     }
--- a/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/LoneDaemonTest.java
+++ b/dotterelcourse-daemon/src/test/java/org/dotterelcourse/daemon/LoneDaemonTest.java
@@ -5,11 +5,10 @@
 
 class LoneDaemonTest {
     @Test
-    void watchesTheServiceThoughItHearsOfNoOtherDaemon() {
-        // A fleet of one never hears of a member joining. If only such news told it that it is a reader, it would look
-        // at the service now and then, and an operator would see each change in force half a minute late; three in a
-        // row
-        // don't fit the bound then.
+    void watchesTheConfigurationServiceWithoutPeers() {
+        // Guards against a single daemon that only polls the configuration service. It gets no membership event, and
+        // if only these events made it a watching reader, each change would come into force half a minute late. Three
+        // successive changes would then exceed the time limit.
         try (FleetFixture fleet = new FleetFixture(1)) {
             int port = fleet.daemons.get(0).operatorsPort();
             int[] number = {1};
