--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/AddressBook.java
@@ -17,9 +17,9 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Tells callers which daemons to use. */
+/** Serves the list of daemons that a caller is to connect to, with their data centres and weights. */
 public final class AddressBook implements Service {
-    /** The name that it is found by. */
+    /** The name under which the kernel registers this service. */
     public static final ServiceName<AddressBook> NAME = new ServiceName<>("address-book", AddressBook.class);
 
     private final DaemonSettings settings;
@@ -27,9 +27,9 @@
     private Peers peers;
 
     /**
-     * Makes a book.
+     * Creates the service; {@link #start} connects it to the peers.
      *
-     * @param settings the time to live of its answers
+     * @param settings the daemon settings, which hold the time to live of a returned address list
      */
     public AddressBook(DaemonSettings settings) {
         this.settings = settings;
@@ -53,24 +53,37 @@
 
     @Override
     public void stop() {
-        // It only answers.
+        // Holds no resources.
     }
 
-    void callersPort(int port) {
+    /**
+     * Publishes the port for callers to the peers, which list it in this daemon's address.
+     *
+     * @param port the TCP port on which this daemon accepts callers
+     */
+    void publishCallersPort(int port) {
         peers.publishCallersPort(port);
     }
 
-    /** Each caller gets the same few daemons as long as they live, so that its connections are used again. */
-    Mono<Void> answer(HttpHeaders headers, HttpServerResponse response) {
-        ObjectNode answer = json.createObjectNode();
-        answer.put("timeToLiveSeconds", settings.addressesTimeToLive().toSeconds());
-        ArrayNode list = answer.putArray("addresses");
+    /**
+     * Sends the addresses as JSON. A caller, identified by its Authorization header, gets the same few daemons for as
+     * long as they are alive, so that it reuses its connections.
+     *
+     * @param headers the request's headers
+     * @param response the response to send
+     * @return completes when the response has been sent
+     */
+    Mono<Void> sendAddresses(HttpHeaders headers, HttpServerResponse response) {
+        ObjectNode body = json.createObjectNode();
+        body.put("timeToLiveSeconds", settings.addressesTimeToLive().toSeconds());
+        ArrayNode addresses = body.putArray("addresses");
         for (DaemonAddress address : peers.daemonAddresses(headers.get("Authorization", ""))) {
-            list.addObject()
+            addresses
+                    .addObject()
                     .put("address", address.address())
                     .put("dataCentre", address.dataCentre())
                     .put("weight", address.weight());
         }
-        return Replies.bytes(response, "application/json", answer.toString().getBytes(StandardCharsets.UTF_8));
+        return Replies.sendBody(response, "application/json", body.toString().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Caller.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Caller.java
@@ -4,9 +4,9 @@
 import org.dotterelcourse.configuration.Customer;
 
 /**
- * Who calls, under which configuration.
+ * An authenticated caller.
  *
- * @param customer the customer
- * @param configuration what was in force when the request came; used for the whole request
+ * @param customer the customer to which the key in the request belongs
+ * @param configuration the configuration in force when the caller was authenticated; used for the whole request
  */
 record Caller(Customer customer, Configuration configuration) {}
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/CallersEdge.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/CallersEdge.java
@@ -28,28 +28,31 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Serves callers: docs/PROTOCOLS.md, "Callers". */
+/**
+ * The HTTP server for callers: assigns request ids, routes requests and counts those in flight. The protocol is
+ * described in docs/PROTOCOLS.md, "Callers".
+ */
 public final class CallersEdge implements Service {
-    /** The name that it is found by. */
+    /** The name under which the kernel registers this service. */
     public static final ServiceName<CallersEdge> NAME = new ServiceName<>("callers-edge", CallersEdge.class);
 
     private static final Logger LOG = Logger.getLogger(CallersEdge.class);
-    private static final Pattern REQUEST_ID = Pattern.compile("[A-Za-z0-9._:/-]{1,128}");
-    private static final Duration STOP_LIMIT = Duration.ofSeconds(2);
+    private static final Pattern REQUEST_ID_PATTERN = Pattern.compile("[A-Za-z0-9._:/-]{1,128}");
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(2);
 
     private final DaemonSettings settings;
-    private final InFlight inFlight = new InFlight();
+    private final InFlightRequests inFlight = new InFlightRequests();
     private volatile boolean draining;
-    private AddressBook addresses;
-    private Route chats;
-    private Route services;
-    private Route tickets;
+    private AddressBook addressBook;
+    private Route chatRoute;
+    private Route serviceRoute;
+    private Route ticketRoute;
     private DisposableServer server;
 
     /**
-     * Makes an edge that doesn't listen yet.
+     * Creates the server; it does not listen until {@link #start}.
      *
-     * @param settings where to listen, and the bounds of a request
+     * @param settings the daemon settings, which hold the address and port to listen on and the maximum body size
      */
     public CallersEdge(DaemonSettings settings) {
         this.settings = settings;
@@ -73,63 +76,64 @@
 
     @Override
     public List<StartupFailure> start(Kernel kernel) {
-        addresses = kernel.find(AddressBook.NAME);
+        addressBook = kernel.find(AddressBook.NAME);
         RequestMetrics metrics = kernel.find(RequestMetrics.NAME);
         Dispatchers dispatchers = kernel.find(Dispatchers.NAME);
-        Tickets once = kernel.find(Tickets.NAME);
-        CallerCheck check = new CallerCheck(kernel.find(ConfigurationStore.NAME));
-        BoundedBodyCollector bodies = new BoundedBodyCollector(settings.maxBodyBytes());
-        EntryGate gate = new EntryGate(kernel.find(Limits.NAME), new OnceGate(once));
-        Refuser refuser = new Refuser(metrics);
-        chats = new ChatRoute(check, bodies, gate, new ChatHandler(dispatchers.chat(), metrics), refuser);
-        services = new ServiceRoute(check, bodies, gate, dispatchers.service(), metrics, refuser);
-        tickets = new TicketRoute(check, once, refuser);
+        Tickets tickets = kernel.find(Tickets.NAME);
+        CallerResolver callerResolver = new CallerResolver(kernel.find(ConfigurationStore.NAME));
+        BoundedBodyCollector bodyCollector = new BoundedBodyCollector(settings.maxBodyBytes());
+        AdmissionGate gate = new AdmissionGate(kernel.find(Limits.NAME), new OnceGate(tickets));
+        RefusalHandler refusals = new RefusalHandler(metrics);
+        chatRoute = new ChatRoute(
+                callerResolver, bodyCollector, gate, new ChatHandler(dispatchers.chat(), metrics), refusals);
+        serviceRoute = new ServiceRoute(callerResolver, bodyCollector, gate, dispatchers.service(), metrics, refusals);
+        ticketRoute = new TicketRoute(callerResolver, tickets, refusals);
         try {
             server = HttpServer.create()
                     .host(settings.address())
                     .port(settings.callersPort())
                     .handle(this::handle)
                     .bindNow();
-            addresses.callersPort(server.port());
+            addressBook.publishCallersPort(server.port());
             return List.of();
         } catch (ChannelBindException e) {
-            return List.of(new StartupFailure(NAME.value(), "can't listen for callers: " + e.getMessage()));
+            return List.of(new StartupFailure(NAME.value(), "cannot listen for callers: " + e.getMessage()));
         }
     }
 
     @Override
     public void stop() {
-        server.disposeNow(STOP_LIMIT);
+        server.disposeNow(STOP_TIMEOUT);
     }
 
     /**
-     * The TCP port that it listens on.
+     * Returns the TCP port on which the server listens.
      *
-     * @return the port
+     * @return the bound port, also if the settings left the choice to the system
      */
     public int port() {
         return server.port();
     }
 
-    /** From now on asks callers to close their connections after the answer they are on. */
+    /** Starts draining: every further response asks the caller to close its connection. */
     public void drain() {
         draining = true;
     }
 
     /**
-     * Takes no more connections, and waits for the requests in flight.
+     * Stops accepting connections and waits for the requests in flight.
      *
-     * @return completes when the last one has ended
+     * @return completes when the last request in flight has ended
      */
     public Mono<Void> finish() {
         server.channel().close();
-        return inFlight.untilNone();
+        return inFlight.whenNone();
     }
 
     /**
-     * How many requests are in flight.
+     * Returns the number of requests in flight.
      *
-     * @return the number
+     * @return the requests that have arrived and not ended yet
      */
     public int inFlight() {
         return inFlight.count();
@@ -138,56 +142,58 @@
     private Publisher<Void> handle(HttpServerRequest request, HttpServerResponse response) {
         long arrivalNanos = System.nanoTime();
         String id = requestId(request.requestHeaders());
-        response.header(Replies.REQUEST_ID, id);
+        response.header(Replies.REQUEST_ID_HEADER, id);
         if (draining) {
             response.header("Connection", "close");
         }
         return Mono.defer(() -> {
-                    inFlight.enter();
-                    return route(new Exchange(id, arrivalNanos, request, response));
+                    inFlight.started();
+                    return dispatch(new Exchange(id, arrivalNanos, request, response));
                 })
-                .onErrorResume(BoundedBodyCollector.TooLargeException.class, error -> tooLarge(response, id))
-                .onErrorResume(error -> internalError(error, response, id))
-                .doFinally(signal -> inFlight.leave());
+                .onErrorResume(BoundedBodyCollector.TooLargeException.class, error -> sendTooLarge(response, id))
+                .onErrorResume(error -> sendInternalError(error, response, id))
+                .doFinally(signal -> inFlight.ended());
     }
 
-    private Mono<Void> route(Exchange exchange) {
+    private Mono<Void> dispatch(Exchange exchange) {
         String path = exchange.request().fullPath();
         if (path.equals("/v1/addresses")) {
-            return addresses.answer(exchange.headers(), exchange.response());
+            return addressBook.sendAddresses(exchange.headers(), exchange.response());
         }
         if (path.equals("/v1/chat/completions")
                 && exchange.request().method().name().equals("POST")) {
-            return chats.handle(exchange);
+            return chatRoute.handle(exchange);
         }
-        if (path.startsWith(ServiceRoute.PREFIX)) {
-            return services.handle(exchange);
+        if (path.startsWith(ServiceRoute.PATH_PREFIX)) {
+            return serviceRoute.handle(exchange);
         }
         if (path.startsWith(TicketRoute.PATH)) {
-            return tickets.handle(exchange);
+            return ticketRoute.handle(exchange);
         }
-        Failure unknown = Failure.notRun(Failure.NOT_FOUND, "unknown path", "there is nothing at " + path);
-        return Replies.problem(exchange.response(), unknown, exchange.id());
+        Failure unknownPath = Failure.notRun(Failure.NOT_FOUND, "unknown path", "there is nothing at " + path);
+        return Replies.sendProblem(exchange.response(), unknownPath, exchange.id());
     }
 
     private static String requestId(HttpHeaders headers) {
-        String given = headers.get(Replies.REQUEST_ID, "");
-        return REQUEST_ID.matcher(given).matches() ? given : UUID.randomUUID().toString();
+        String given = headers.get(Replies.REQUEST_ID_HEADER, "");
+        return REQUEST_ID_PATTERN.matcher(given).matches()
+                ? given
+                : UUID.randomUUID().toString();
     }
 
-    private static Mono<Void> tooLarge(HttpServerResponse response, String id) {
+    private static Mono<Void> sendTooLarge(HttpServerResponse response, String id) {
         Failure failure = Failure.notRun(Failure.TOO_LARGE, "too large", "the body is longer than this daemon takes");
         response.header("Connection", "close");
-        return Replies.problem(response, failure, id);
+        return Replies.sendProblem(response, failure, id);
     }
 
-    /** The detail stays in the log: a stack trace tells a caller nothing that helps, and others a good deal. */
-    private static Mono<Void> internalError(Throwable error, HttpServerResponse response, String id) {
+    /** Responds without the cause, which is only logged: a stack trace does not help callers but helps attackers. */
+    private static Mono<Void> sendInternalError(Throwable error, HttpServerResponse response, String id) {
         if (response.hasSentHeaders()) {
-            LOG.debug("the caller's connection broke while it was answered, request " + id, error);
+            LOG.debug("connection failed after response headers were sent; aborting request " + id, error);
             return Mono.error(error);
         }
-        LOG.error("a request failed inside the daemon: " + id, error);
-        return Replies.problem(response, Failure.unknown(500, "internal error", "see the daemon's log"), id);
+        LOG.error("internal error, responding with status 500; request " + id, error);
+        return Replies.sendProblem(response, Failure.unknown(500, "internal error", "see the daemon's log"), id);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatHandler.java
@@ -14,11 +14,11 @@
 import reactor.core.publisher.Signal;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Answers chat completions, in pieces or whole. */
+/** Dispatches admitted chat completions and sends their answers, streamed or as one JSON object. */
 final class ChatHandler {
     /**
-     * A tenth of the shortest idle limit that is common between two ends, a minute or more; so several are lost before
-     * a connection is.
+     * A tenth of one minute, the shortest common idle timeout of proxies, so that a connection survives the loss of
+     * several keep-alives.
      */
     private static final Duration KEEP_ALIVE_PERIOD = Duration.ofSeconds(6);
 
@@ -30,15 +30,23 @@
         this.metrics = metrics;
     }
 
-    Mono<Void> handle(ChatCall call, HttpServerResponse response, RequestEndListener ended) {
-        RequestTracker watch =
-                metrics.track(call.id(), call.customer(), call.requestClass(), call.arrivalNanos(), ended);
-        Flux<AnswerEvent> events = watch.track(dispatcher.dispatch(call, watch));
-        boolean stream = call.body().path("stream").asBoolean(false);
-        return stream ? stream(call, events, response) : whole(call, events, response);
+    /**
+     * Dispatches a request and sends its answer.
+     *
+     * @param call the admitted request
+     * @param response the response to send
+     * @param endListener notified when the request has ended
+     * @return completes when the response has been sent
+     */
+    Mono<Void> handle(ChatCall call, HttpServerResponse response, RequestEndListener endListener) {
+        RequestTracker tracker =
+                metrics.track(call.id(), call.customer(), call.requestClass(), call.arrivalNanos(), endListener);
+        Flux<AnswerEvent> events = tracker.track(dispatcher.dispatch(call, tracker));
+        boolean streamed = call.body().path("stream").asBoolean(false);
+        return streamed ? sendStream(call, events, response) : sendWhole(call, events, response);
     }
 
-    private static Mono<Void> whole(ChatCall call, Flux<AnswerEvent> events, HttpServerResponse response) {
+    private static Mono<Void> sendWhole(ChatCall call, Flux<AnswerEvent> events, HttpServerResponse response) {
         StringBuilder text = new StringBuilder();
         return events.doOnNext(event -> {
                     if (event instanceof AnswerEvent.Piece piece) {
@@ -48,50 +56,51 @@
                 .last()
                 .flatMap(last -> {
                     if (last instanceof AnswerEvent.Finished finished) {
-                        byte[] body = new ChatAnswers(call).whole(text.toString(), finished);
-                        return Replies.answered(response, 200, "application/json", body);
+                        byte[] body = new ChatResponseEncoder(call).encodeWhole(text.toString(), finished);
+                        return Replies.sendAnswer(response, 200, "application/json", body);
                     }
-                    return Replies.problem(response, ((AnswerEvent.Failed) last).failure(), call.id());
+                    return Replies.sendProblem(response, ((AnswerEvent.Failed) last).failure(), call.id());
                 });
     }
 
     /**
-     * A request that fails before its first token gets a status of its own. One that has waited for a keep-alive period
-     * gets its headers then, so that the connection is seen to be alive, and a later failure comes as an event.
+     * Streams an answer. A request that fails before the first token or keep-alive gets an HTTP error status. After one
+     * keep-alive period without a token, the response headers and a keep-alive are sent to show that the connection is
+     * alive; a later failure is then sent as an event.
      */
-    private static Mono<Void> stream(ChatCall call, Flux<AnswerEvent> events, HttpServerResponse response) {
-        ChatAnswers answers = new ChatAnswers(call);
-        Flux<Part> parts = Flux.merge(events.map(event -> new Part(answers, event)), keepAlives())
+    private static Mono<Void> sendStream(ChatCall call, Flux<AnswerEvent> events, HttpServerResponse response) {
+        ChatResponseEncoder encoder = new ChatResponseEncoder(call);
+        Flux<Part> parts = Flux.merge(events.map(event -> new Part(encoder, event)), keepAliveParts())
                 .takeUntil(Part::isLast);
-        return parts.switchOnFirst((first, all) -> send(call, first, all, response))
+        return parts.switchOnFirst((first, allParts) -> sendParts(call, first, allParts, response))
                 .then();
     }
 
-    private static Mono<Void> send(
-            ChatCall call, Signal<? extends Part> first, Flux<Part> all, HttpServerResponse response) {
+    private static Mono<Void> sendParts(
+            ChatCall call, Signal<? extends Part> first, Flux<Part> parts, HttpServerResponse response) {
         if (first.get() != null && first.get().event() instanceof AnswerEvent.Failed failed) {
-            return all.then(Replies.problem(response, failed.failure(), call.id()));
+            return parts.then(Replies.sendProblem(response, failed.failure(), call.id()));
         }
         response.status(200);
         response.header("Content-Type", "text/event-stream");
         response.header("Cache-Control", "no-cache");
-        return response.send(all.map(part -> Unpooled.wrappedBuffer(part.bytes())), buffer -> true)
+        return response.send(parts.map(part -> Unpooled.wrappedBuffer(part.bytes())), buffer -> true)
                 .then();
     }
 
-    private static Flux<Part> keepAlives() {
+    private static Flux<Part> keepAliveParts() {
         return Flux.interval(KEEP_ALIVE_PERIOD).onBackpressureDrop().map(tick -> new Part(null, null));
     }
 
     /**
-     * What is written at once.
+     * An event or a keep-alive, written to the response as one buffer.
      *
-     * @param answers writes the event; null for a keep-alive
-     * @param event null for a keep-alive
+     * @param encoder encodes the event; null for a keep-alive
+     * @param event the event to send; null for a keep-alive
      */
-    private record Part(ChatAnswers answers, AnswerEvent event) {
+    private record Part(ChatResponseEncoder encoder, AnswerEvent event) {
         byte[] bytes() {
-            return event == null ? ChatAnswers.KEEP_ALIVE : answers.event(event);
+            return event == null ? ChatResponseEncoder.KEEP_ALIVE : encoder.encodeEvent(event);
         }
 
         boolean isLast() {
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatRequests.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatRequestParser.java
@@ -11,65 +11,77 @@
 import org.dotterelcourse.daemon.dispatch.ChatCall;
 import org.dotterelcourse.daemon.dispatch.Failure;
 
-/** Reads the JSON of a chat completion, checks it and measures it. */
-final class ChatRequests {
-    /** English and Dutch text has close to four characters a token; estimates are corrected by what engines report. */
+/** Parses and validates the JSON of a chat completion and estimates the token count of its prompt. */
+final class ChatRequestParser {
+    /**
+     * English and Dutch text has close to four characters per token. Estimates are corrected by the token counts that
+     * engines report.
+     */
     private static final int CHARACTERS_PER_TOKEN = 4;
 
-    /** Prompts that share their first kilobyte share the part that is worth caching: the instructions of a class. */
+    /**
+     * Length of the prompt prefix that is hashed. Prompts with the same first 1024 characters share the part that is
+     * worth caching, the instructions of a class.
+     */
     private static final int PREFIX_CHARACTERS = 1024;
 
     private final ObjectMapper json = new ObjectMapper();
 
     /**
+     * Parses and validates a request.
+     *
      * @param id the request's id
      * @param customer the customer's name
      * @param requestClass the request's class
-     * @param body the bytes the caller sent
-     * @param arrivalNanos when it came
+     * @param body the request body
+     * @param arrivalNanos monotonic time in nanoseconds at which the request arrived
+     * @return the call to dispatch, or the failure if the body is malformed or asks for a model that the class
+     *     doesn't serve
      */
     Parsed<ChatCall> parse(String id, String customer, RequestClass requestClass, byte[] body, long arrivalNanos) {
-        JsonNode tree;
+        JsonNode root;
         try {
-            tree = json.readTree(body);
+            root = json.readTree(body);
         } catch (IOException e) {
             return malformed("the body is not JSON");
         }
-        if (!(tree instanceof ObjectNode chat)) {
+        if (!(root instanceof ObjectNode chatRequest)) {
             return malformed("the body is not a JSON object");
         }
-        String prompt = prompt(chat.path("messages"));
+        String prompt = concatenateMessages(chatRequest.path("messages"));
         if (prompt == null) {
             return malformed("messages must be a list of objects with role and content, and not empty");
         }
-        JsonNode asked = chat.path("max_tokens");
-        if (!asked.isMissingNode() && !(asked.canConvertToInt() && asked.asInt() > 0)) {
+        JsonNode requestedMaxTokens = chatRequest.path("max_tokens");
+        if (!requestedMaxTokens.isMissingNode()
+                && !(requestedMaxTokens.canConvertToInt() && requestedMaxTokens.asInt() > 0)) {
             return malformed("max_tokens must be a whole number above 0");
         }
-        String model = chat.path("model").asText(requestClass.model());
+        String model = chatRequest.path("model").asText(requestClass.model());
         if (!model.equals(requestClass.model())) {
-            return Parsed.wrong(
+            return Parsed.invalid(
                     Failure.notRun(Failure.NOT_FOUND, "unknown model", "the class does not serve the model " + model)
                             .known(List.of(requestClass.model())));
         }
-        int maxTokens = Math.min(asked.asInt(requestClass.maxOutputTokens()), requestClass.maxOutputTokens());
-        return Parsed.right(new ChatCall(
+        int maxTokens =
+                Math.min(requestedMaxTokens.asInt(requestClass.maxOutputTokens()), requestClass.maxOutputTokens());
+        return Parsed.valid(new ChatCall(
                 id,
                 customer,
                 requestClass,
-                chat,
+                chatRequest,
                 maxTokens,
                 prompt.length() / CHARACTERS_PER_TOKEN + 1,
-                fingerprint(prompt),
+                prefixFingerprint(prompt),
                 arrivalNanos));
     }
 
     private static Parsed<ChatCall> malformed(String detail) {
-        return Parsed.wrong(Failure.notRun(Failure.BAD_REQUEST, "malformed", detail));
+        return Parsed.invalid(Failure.notRun(Failure.BAD_REQUEST, "malformed", detail));
     }
 
-    /** The messages' text in one, or null if they are not what they should be. */
-    private static String prompt(JsonNode messages) {
+    /** Concatenates roles and texts of the messages; returns null if the list is empty or a message is malformed. */
+    private static String concatenateMessages(JsonNode messages) {
         if (!messages.isArray() || messages.isEmpty()) {
             return null;
         }
@@ -84,8 +96,8 @@
         return prompt.toString();
     }
 
-    private static long fingerprint(String prompt) {
-        String start = prompt.substring(0, Math.min(prompt.length(), PREFIX_CHARACTERS));
-        return Hashing.komihash5_0().hashCharsToLong(start);
+    private static long prefixFingerprint(String prompt) {
+        String prefix = prompt.substring(0, Math.min(prompt.length(), PREFIX_CHARACTERS));
+        return Hashing.komihash5_0().hashCharsToLong(prefix);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ChatRoute.java
@@ -6,52 +6,58 @@
 import org.dotterelcourse.daemon.http.BoundedBodyCollector;
 import reactor.core.publisher.Mono;
 
-/** Checks chat completions and hands them on. */
+/** Authenticates, parses and admits chat completions and passes them to the handler. */
 final class ChatRoute implements Route {
-    private final CallerCheck check;
-    private final BoundedBodyCollector bodies;
-    private final EntryGate gate;
-    private final ChatHandler chats;
-    private final Refuser refuser;
-    private final ChatRequests requests = new ChatRequests();
+    private final CallerResolver callerResolver;
+    private final BoundedBodyCollector bodyCollector;
+    private final AdmissionGate gate;
+    private final ChatHandler handler;
+    private final RefusalHandler refusals;
+    private final ChatRequestParser parser = new ChatRequestParser();
 
-    ChatRoute(CallerCheck check, BoundedBodyCollector bodies, EntryGate gate, ChatHandler chats, Refuser refuser) {
-        this.check = check;
-        this.bodies = bodies;
+    ChatRoute(
+            CallerResolver callerResolver,
+            BoundedBodyCollector bodyCollector,
+            AdmissionGate gate,
+            ChatHandler handler,
+            RefusalHandler refusals) {
+        this.callerResolver = callerResolver;
+        this.bodyCollector = bodyCollector;
         this.gate = gate;
-        this.chats = chats;
-        this.refuser = refuser;
+        this.handler = handler;
+        this.refusals = refusals;
     }
 
     @Override
     public Mono<Void> handle(Exchange exchange) {
-        return refuser.orRefuse(
+        return refusals.proceedOrRefuse(
                 exchange,
-                check.caller(exchange.headers()),
-                caller -> refuser.orRefuse(
+                callerResolver.authenticate(exchange.headers()),
+                caller -> refusals.proceedOrRefuse(
                         exchange,
-                        check.chatClass(caller, exchange.headers()),
-                        requestClass -> read(exchange, caller.customer().name(), requestClass)));
+                        callerResolver.resolveChatClass(caller, exchange.headers()),
+                        requestClass -> readBody(exchange, caller.customer().name(), requestClass)));
     }
 
-    private Mono<Void> read(Exchange exchange, String customer, RequestClass requestClass) {
-        exchange.response().header(Replies.REQUEST_CLASS, requestClass.name());
-        return bodies.collect(exchange.request().receive())
-                .flatMap(body -> refuser.orRefuse(
+    private Mono<Void> readBody(Exchange exchange, String customer, RequestClass requestClass) {
+        exchange.response().header(Replies.REQUEST_CLASS_HEADER, requestClass.name());
+        return bodyCollector
+                .collect(exchange.request().receive())
+                .flatMap(body -> refusals.proceedOrRefuse(
                         exchange,
-                        requests.parse(exchange.id(), customer, requestClass, body, exchange.arrivalNanos()),
-                        call -> enter(exchange, call, body)));
+                        parser.parse(exchange.id(), customer, requestClass, body, exchange.arrivalNanos()),
+                        call -> admit(exchange, call, body)));
     }
 
-    private Mono<Void> enter(Exchange exchange, ChatCall call, byte[] body) {
+    private Mono<Void> admit(Exchange exchange, ChatCall call, byte[] body) {
         long fingerprint = Hashing.komihash5_0().hashBytesToLong(body);
         RequestClass requestClass = call.requestClass();
-        return gate.enter(exchange, call.customer(), requestClass, call.inputTokens(), fingerprint)
-                .flatMap(entry -> refuser.orRefuse(
+        return gate.admit(exchange, call.customer(), requestClass, call.inputTokens(), fingerprint)
+                .flatMap(decision -> refusals.proceedOrRefuse(
                         exchange,
                         call.customer(),
                         requestClass.name(),
-                        entry,
-                        end -> chats.handle(call, exchange.response(), end)));
+                        decision,
+                        endListener -> handler.handle(call, exchange.response(), endListener)));
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Parsed.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Parsed.java
@@ -3,22 +3,32 @@
 import org.dotterelcourse.daemon.dispatch.Failure;
 
 /**
- * A part of a request that was looked at: what it says, or what is wrong with it.
+ * The result of checking a part of a request: its parsed value, or the failure to send to the caller.
  *
- * @param <T> what a right one holds
+ * @param <T> the type of a valid value
  */
 sealed interface Parsed<T> {
-    /** It is right. */
-    record Right<T>(T value) implements Parsed<T> {}
+    /**
+     * The part is valid.
+     *
+     * @param value the parsed value
+     * @param <T> the type of the value
+     */
+    record Valid<T>(T value) implements Parsed<T> {}
 
-    /** It is wrong; the caller is told so, and nothing was run. */
-    record Wrong<T>(Failure failure) implements Parsed<T> {}
+    /**
+     * The part is invalid, and the request is refused without being run.
+     *
+     * @param failure the failure to send to the caller
+     * @param <T> the type that a valid value would have had
+     */
+    record Invalid<T>(Failure failure) implements Parsed<T> {}
 
-    static <T> Parsed<T> right(T value) {
-        return new Right<>(value);
+    static <T> Parsed<T> valid(T value) {
+        return new Valid<>(value);
     }
 
-    static <T> Parsed<T> wrong(Failure failure) {
-        return new Wrong<>(failure);
+    static <T> Parsed<T> invalid(Failure failure) {
+        return new Invalid<>(failure);
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Replies.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/Replies.java
@@ -9,31 +9,56 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Sends what is the same for every kind of request. */
+/** Sends the responses and headers that all routes have in common. */
 final class Replies {
-    static final String OUTCOME = "X-Outcome";
-    static final String REQUEST_ID = "X-Request-Id";
-    static final String REQUEST_CLASS = "X-Request-Class";
+    static final String OUTCOME_HEADER = "X-Outcome";
+    static final String REQUEST_ID_HEADER = "X-Request-Id";
+    static final String REQUEST_CLASS_HEADER = "X-Request-Class";
 
     private Replies() {}
 
-    static Mono<Void> problem(HttpServerResponse response, Failure failure, String requestId) {
+    /**
+     * Sends a failure as problem details, with its outcome and, if it has one, its retry delay as headers.
+     *
+     * @param response the response to send
+     * @param failure the failure, which gives the HTTP status
+     * @param requestId the request's id, repeated in the body
+     * @return completes when the response has been sent
+     */
+    static Mono<Void> sendProblem(HttpServerResponse response, Failure failure, String requestId) {
         response.status(failure.status());
-        response.header(OUTCOME, failure.outcome().word());
+        response.header(OUTCOME_HEADER, failure.outcome().word());
         if (failure.retryAfterNanos() > 0) {
             response.header("Retry-After", Long.toString(ProblemDetails.retryAfterSeconds(failure)));
         }
         byte[] body = ProblemDetails.json(failure, requestId).getBytes(StandardCharsets.UTF_8);
-        return bytes(response, ProblemDetails.MEDIA_TYPE, body);
+        return sendBody(response, ProblemDetails.MEDIA_TYPE, body);
     }
 
-    static Mono<Void> answered(HttpServerResponse response, int status, String contentType, byte[] body) {
+    /**
+     * Sends an upstream's answer and marks the request as answered.
+     *
+     * @param response the response to send
+     * @param status the HTTP status
+     * @param contentType the media type of the body
+     * @param body the full body
+     * @return completes when the response has been sent
+     */
+    static Mono<Void> sendAnswer(HttpServerResponse response, int status, String contentType, byte[] body) {
         response.status(status);
-        response.header(OUTCOME, new Outcome.Answered().word());
-        return bytes(response, contentType, body);
+        response.header(OUTCOME_HEADER, new Outcome.Answered().word());
+        return sendBody(response, contentType, body);
     }
 
-    static Mono<Void> bytes(HttpServerResponse response, String contentType, byte[] body) {
+    /**
+     * Sends a body under the status and headers already set on the response.
+     *
+     * @param response the response to send
+     * @param contentType the media type of the body
+     * @param body the full body
+     * @return completes when the response has been sent
+     */
+    static Mono<Void> sendBody(HttpServerResponse response, String contentType, byte[] body) {
         response.header("Content-Type", contentType);
         response.header("Content-Length", Integer.toString(body.length));
         return response.send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(body)))
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/ServiceRoute.java
@@ -11,56 +11,57 @@
 import org.dotterelcourse.daemon.metrics.RequestTracker;
 import reactor.core.publisher.Mono;
 
-/** Checks calls to plain services, passes them through and passes the answers back. */
+/** Authenticates and admits calls to plain services, forwards them to the upstream and returns its answers. */
 final class ServiceRoute implements Route {
-    /** Where the path of a call to a plain service begins; the upstream's name and the service's own path follow. */
-    static final String PREFIX = "/v1/services/";
+    /** Path prefix of calls to plain services; the upstream's name and the path at the service follow. */
+    static final String PATH_PREFIX = "/v1/services/";
 
-    private final CallerCheck check;
-    private final BoundedBodyCollector bodies;
-    private final EntryGate gate;
+    private final CallerResolver callerResolver;
+    private final BoundedBodyCollector bodyCollector;
+    private final AdmissionGate gate;
     private final ServiceDispatcher dispatcher;
     private final RequestMetrics metrics;
-    private final Refuser refuser;
+    private final RefusalHandler refusals;
 
     ServiceRoute(
-            CallerCheck check,
-            BoundedBodyCollector bodies,
-            EntryGate gate,
+            CallerResolver callerResolver,
+            BoundedBodyCollector bodyCollector,
+            AdmissionGate gate,
             ServiceDispatcher dispatcher,
             RequestMetrics metrics,
-            Refuser refuser) {
-        this.check = check;
-        this.bodies = bodies;
+            RefusalHandler refusals) {
+        this.callerResolver = callerResolver;
+        this.bodyCollector = bodyCollector;
         this.gate = gate;
         this.dispatcher = dispatcher;
         this.metrics = metrics;
-        this.refuser = refuser;
+        this.refusals = refusals;
     }
 
     @Override
     public Mono<Void> handle(Exchange exchange) {
-        String rest = exchange.request().uri().substring(PREFIX.length());
-        int slash = rest.indexOf('/');
-        String upstream = slash < 0 ? rest : rest.substring(0, slash);
-        String path = slash < 0 ? "/" : rest.substring(slash);
-        return refuser.orRefuse(
+        String upstreamAndPath = exchange.request().uri().substring(PATH_PREFIX.length());
+        int slash = upstreamAndPath.indexOf('/');
+        String upstream = slash < 0 ? upstreamAndPath : upstreamAndPath.substring(0, slash);
+        String path = slash < 0 ? "/" : upstreamAndPath.substring(slash);
+        return refusals.proceedOrRefuse(
                 exchange,
-                check.caller(exchange.headers()),
-                caller -> refuser.orRefuse(
+                callerResolver.authenticate(exchange.headers()),
+                caller -> refusals.proceedOrRefuse(
                         exchange,
-                        check.serviceClass(caller, exchange.headers(), upstream),
-                        requestClass -> read(exchange, caller.customer().name(), requestClass, path)));
+                        callerResolver.resolveServiceClass(caller, exchange.headers(), upstream),
+                        requestClass -> readBody(exchange, caller.customer().name(), requestClass, path)));
     }
 
-    private Mono<Void> read(Exchange exchange, String customer, RequestClass requestClass, String path) {
-        exchange.response().header(Replies.REQUEST_CLASS, requestClass.name());
-        return bodies.collect(exchange.request().receive())
-                .map(body -> request(exchange, customer, requestClass, path, body))
-                .flatMap(request -> enter(exchange, request));
+    private Mono<Void> readBody(Exchange exchange, String customer, RequestClass requestClass, String path) {
+        exchange.response().header(Replies.REQUEST_CLASS_HEADER, requestClass.name());
+        return bodyCollector
+                .collect(exchange.request().receive())
+                .map(body -> newRequest(exchange, customer, requestClass, path, body))
+                .flatMap(request -> admit(exchange, request));
     }
 
-    private static ServiceRequest request(
+    private static ServiceRequest newRequest(
             Exchange exchange, String customer, RequestClass requestClass, String path, byte[] body) {
         return new ServiceRequest(
                 exchange.id(),
@@ -73,7 +74,7 @@
                 exchange.arrivalNanos());
     }
 
-    private Mono<Void> enter(Exchange exchange, ServiceRequest request) {
+    private Mono<Void> admit(Exchange exchange, ServiceRequest request) {
         long fingerprint = Hashing.komihash5_0()
                 .hashStream()
                 .putString(request.method())
@@ -81,25 +82,25 @@
                 .putByteArray(request.body())
                 .getAsLong();
         RequestClass requestClass = request.requestClass();
-        return gate.enter(exchange, request.customer(), requestClass, 0, fingerprint)
-                .flatMap(entry -> refuser.orRefuse(
+        return gate.admit(exchange, request.customer(), requestClass, 0, fingerprint)
+                .flatMap(decision -> refusals.proceedOrRefuse(
                         exchange,
                         request.customer(),
                         requestClass.name(),
-                        entry,
-                        end -> answer(exchange, request, end)));
+                        decision,
+                        endListener -> dispatch(exchange, request, endListener)));
     }
 
-    private Mono<Void> answer(Exchange exchange, ServiceRequest request, RequestEndListener end) {
-        RequestTracker watch =
-                metrics.track(request.id(), request.customer(), request.requestClass(), request.arrivalNanos(), end);
-        Mono<ServiceAnswer> answer = watch.track(dispatcher.dispatch(request, watch));
+    private Mono<Void> dispatch(Exchange exchange, ServiceRequest request, RequestEndListener endListener) {
+        RequestTracker tracker = metrics.track(
+                request.id(), request.customer(), request.requestClass(), request.arrivalNanos(), endListener);
+        Mono<ServiceAnswer> answer = tracker.track(dispatcher.dispatch(request, tracker));
         return answer.flatMap(result -> {
             if (result instanceof ServiceAnswer.Answered answered) {
-                return Replies.answered(
+                return Replies.sendAnswer(
                         exchange.response(), answered.status(), answered.contentType(), answered.body());
             }
-            return Replies.problem(exchange.response(), ((ServiceAnswer.Failed) result).failure(), exchange.id());
+            return Replies.sendProblem(exchange.response(), ((ServiceAnswer.Failed) result).failure(), exchange.id());
         });
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/TicketRoute.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/TicketRoute.java
@@ -10,61 +10,61 @@
 import org.dotterelcourse.daemon.once.Tickets;
 import reactor.core.publisher.Mono;
 
-/** Mints tickets by POST, and burns the one whose text follows the path by DELETE. */
+/** Mints a ticket on POST, and invalidates the ticket that is given as last path segment on DELETE. */
 final class TicketRoute implements Route {
     static final String PATH = "/v1/tickets";
 
-    private static final int CREATED = 201;
+    private static final int HTTP_CREATED = 201;
 
-    private final CallerCheck check;
+    private final CallerResolver callerResolver;
     private final Tickets tickets;
-    private final Refuser refuser;
+    private final RefusalHandler refusals;
     private final ObjectMapper json = new ObjectMapper();
 
-    TicketRoute(CallerCheck check, Tickets tickets, Refuser refuser) {
-        this.check = check;
+    TicketRoute(CallerResolver callerResolver, Tickets tickets, RefusalHandler refusals) {
+        this.callerResolver = callerResolver;
         this.tickets = tickets;
-        this.refuser = refuser;
+        this.refusals = refusals;
     }
 
     @Override
     public Mono<Void> handle(Exchange exchange) {
-        return refuser.orRefuse(
+        return refusals.proceedOrRefuse(
                 exchange,
-                check.caller(exchange.headers()),
-                caller -> handle(exchange, caller.customer().name()));
+                callerResolver.authenticate(exchange.headers()),
+                caller -> handleAuthenticated(exchange, caller.customer().name()));
     }
 
-    private Mono<Void> handle(Exchange exchange, String customer) {
+    private Mono<Void> handleAuthenticated(Exchange exchange, String customer) {
         String method = exchange.request().method().name();
         String path = exchange.request().fullPath();
         if (method.equals("POST") && path.equals(PATH)) {
-            return tickets.mint(customer).flatMap(minting -> minted(exchange, minting));
+            return tickets.mint(customer).flatMap(mintResult -> sendMintResult(exchange, mintResult));
         }
         if (method.equals("DELETE") && path.startsWith(PATH + "/")) {
             String ticket = path.substring(PATH.length() + 1);
             return tickets.burn(ticket, customer)
-                    .flatMap(burning ->
-                            Replies.problem(exchange.response(), OnceGate.failure(burning.verdict()), exchange.id()));
+                    .flatMap(burnResult -> Replies.sendProblem(
+                            exchange.response(), OnceGate.failure(burnResult.verdict()), exchange.id()));
         }
-        return Replies.problem(
+        return Replies.sendProblem(
                 exchange.response(),
                 Failure.notRun(Failure.NOT_FOUND, "unknown path", "POST " + PATH + " or DELETE " + PATH + "/{ticket}"),
                 exchange.id());
     }
 
-    private Mono<Void> minted(Exchange exchange, TicketMinter.MintResult minting) {
-        if (minting instanceof TicketMinter.MintResult.Full full) {
+    private Mono<Void> sendMintResult(Exchange exchange, TicketMinter.MintResult mintResult) {
+        if (mintResult instanceof TicketMinter.MintResult.Full full) {
             Failure failure = Failure.notRun(Failure.TOO_MANY, "too many tickets", "no more can be remembered now")
                     .retryAfter(full.retryAfterNanos());
-            return Replies.problem(exchange.response(), failure, exchange.id());
+            return Replies.sendProblem(exchange.response(), failure, exchange.id());
         }
-        TicketMinter.MintResult.Minted minted = (TicketMinter.MintResult.Minted) minting;
+        TicketMinter.MintResult.Minted minted = (TicketMinter.MintResult.Minted) mintResult;
         String body = json.createObjectNode()
                 .put("ticket", minted.token())
                 .put("expiresInSeconds", TimeUnit.NANOSECONDS.toSeconds(minted.lifetimeNanos()))
                 .toString();
-        exchange.response().status(CREATED);
-        return Replies.bytes(exchange.response(), "application/json", body.getBytes(StandardCharsets.UTF_8));
+        exchange.response().status(HTTP_CREATED);
+        return Replies.sendBody(exchange.response(), "application/json", body.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/package-info.java
+++ b/dotterelcourse-daemon/src/main/java/org/dotterelcourse/daemon/edge/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP side towards callers. */
+/** The HTTP API for callers: authentication, admission, chat completions, plain services and tickets. */
 package org.dotterelcourse.daemon.edge;
